--- a/damaskbay/core/admission/__init__.py
+++ b/damaskbay/core/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions on admission at the daemon beside a backend server."""
+"""Admission control at the daemon that runs next to a backend server."""
 
 from damaskbay.core.admission.controller import (
     AdmissionController,
--- a/damaskbay/core/admission/level.py
+++ b/damaskbay/core/admission/level.py
@@ -1,105 +1,106 @@
-"""The admission level: which part of the arriving calls a server can take."""
+"""The admission level: the share of arriving calls that a server can handle."""
 
 from damaskbay.core.admission.const import (
-    LEVEL_FIRST_RAISE,
+    LEVEL_DECREASE_INTERVAL_S,
+    LEVEL_FIRST_INCREASE,
     LEVEL_HEADROOM,
-    LEVEL_HOLD_S,
-    LEVEL_LONGEST_WINDOW_S,
-    LEVEL_LOWEST,
+    LEVEL_MAX_WINDOW_S,
+    LEVEL_MIN,
+    LEVEL_MIN_WINDOW_CALLS,
+    LEVEL_MIN_WINDOW_S,
     LEVEL_STEPS_PER_RANK,
-    LEVEL_WINDOW_CALLS,
-    LEVEL_WINDOW_S,
 )
 
 OPEN_LEVEL = 1_000_000
-"""Every call is welcome."""
+"""The level that admits every call."""
 
 
 def pass_share(level: int, rank: int) -> float:
     """
-    Return the share of calls of a rank that a level lets pass, 0 to 1.
+    Return the share of calls of a rank that a level admits, 0 to 1.
 
-    A level of 2,300 takes all calls of ranks 0 and 1, three in ten of rank 2
-    and none of the others.
+    A level of 2,300 admits all calls of ranks 0 and 1, 30% of rank 2 and none of
+    the lower ranks.
     """
     return min(1.0, max(0.0, level / LEVEL_STEPS_PER_RANK - rank))
 
 
-class LevelMeter:
+class LevelController:
     """
-    Finds the level at which rather too many calls arrive than too few.
+    Adjusts the admission level so that slightly more calls arrive than can start.
 
-    The queue decides exactly who runs, so early refusal only sheds the bulk: the
-    level is lowered where arrivals exceed starts by more than the headroom, left
-    alone where some are refused, and raised, faster and faster, where none are.
+    The queue makes the exact choice, so callers need to shed only the bulk of the
+    excess. The level decreases when arrivals exceed starts by more than the
+    headroom, stays when a few calls are refused, and increases in growing steps
+    when none are.
     """
 
     def __init__(self, now: float, headroom: float = LEVEL_HEADROOM) -> None:
         self._headroom = headroom
         self._level = OPEN_LEVEL
-        self._raise = LEVEL_FIRST_RAISE
-        self._held_until = now
+        self._increase_step = LEVEL_FIRST_INCREASE
+        self._decrease_not_before = now
         self._highest_rank = 0
-        self._begin(now)
+        self._start_window(now)
 
     def value(self) -> int:
-        """Return the level."""
+        """Return the current admission level."""
         return self._level
 
-    def offered(self, rank: int) -> None:
-        """Count an arrival."""
-        self._offered_by_rank[rank] = self._offered_by_rank.get(rank, 0) + 1
+    def record_arrival(self, rank: int) -> None:
+        """Count an arriving call of this rank."""
+        self._arrivals_by_rank[rank] = self._arrivals_by_rank.get(rank, 0) + 1
         self._highest_rank = max(self._highest_rank, rank)
 
-    def started(self) -> None:
-        """Count a start."""
+    def record_start(self) -> None:
+        """Count a started call."""
         self._started += 1
 
-    def refused(self) -> None:
-        """Count a refusal for want of capacity."""
+    def record_refusal(self) -> None:
+        """Count a refusal for lack of capacity."""
         self._refused += 1
 
     def update(self, now: float) -> None:
-        """Move the level when a window is over; call at least a few times a second."""
-        elapsed_s = now - self._since
-        if elapsed_s < LEVEL_WINDOW_S:
+        """Adjust the level at the end of a window; call it a few times per second."""
+        elapsed_s = now - self._window_start
+        if elapsed_s < LEVEL_MIN_WINDOW_S:
             return
-        few = sum(self._offered_by_rank.values()) < LEVEL_WINDOW_CALLS
-        if self._refused and few and elapsed_s < LEVEL_LONGEST_WINDOW_S:
+        few_arrivals = sum(self._arrivals_by_rank.values()) < LEVEL_MIN_WINDOW_CALLS
+        if self._refused and few_arrivals and elapsed_s < LEVEL_MAX_WINDOW_S:
             return
         if self._refused:
-            self._lower(now)
+            self._decrease(now)
         elif self._level != OPEN_LEVEL:
-            self._lift()
-        self._begin(now)
+            self._increase()
+        self._start_window(now)
 
-    def _begin(self, now: float) -> None:
-        self._since = now
-        self._offered_by_rank: dict[int, int] = {}
+    def _start_window(self, now: float) -> None:
+        self._window_start = now
+        self._arrivals_by_rank: dict[int, int] = {}
         self._started = 0
         self._refused = 0
 
-    def _lower(self, now: float) -> None:
-        self._raise = LEVEL_FIRST_RAISE
-        if now < self._held_until:
+    def _decrease(self, now: float) -> None:
+        self._increase_step = LEVEL_FIRST_INCREASE
+        if now < self._decrease_not_before:
             return
-        cut = self._cut()
-        if cut < self._level:
-            self._held_until = now + LEVEL_HOLD_S
-            self._level = max(LEVEL_LOWEST, cut)
-
-    def _cut(self) -> int:
-        """Return the level whose part of the arrivals is the starts and headroom."""
-        wanted = self._started * self._headroom + 1.0
-        for rank, count in sorted(self._offered_by_rank.items()):
-            if count > wanted:
-                share = pass_share(self._level, rank) * wanted / count
+        lowered = self._level_for_starts()
+        if lowered < self._level:
+            self._decrease_not_before = now + LEVEL_DECREASE_INTERVAL_S
+            self._level = max(LEVEL_MIN, lowered)
+
+    def _level_for_starts(self) -> int:
+        """Return the level that would admit the started calls plus headroom."""
+        target_count = self._started * self._headroom + 1.0
+        for rank, count in sorted(self._arrivals_by_rank.items()):
+            if count > target_count:
+                share = pass_share(self._level, rank) * target_count / count
                 return int((rank + share) * LEVEL_STEPS_PER_RANK)
-            wanted -= count
+            target_count -= count
         return self._level
 
-    def _lift(self) -> None:
-        self._level += self._raise
-        self._raise = min(2 * self._raise, LEVEL_STEPS_PER_RANK)
+    def _increase(self) -> None:
+        self._level += self._increase_step
+        self._increase_step = min(2 * self._increase_step, LEVEL_STEPS_PER_RANK)
         if self._level >= (self._highest_rank + 1) * LEVEL_STEPS_PER_RANK:
             self._level = OPEN_LEVEL
--- a/damaskbay/core/admission/queue.py
+++ b/damaskbay/core/admission/queue.py
@@ -1,20 +1,20 @@
-"""Calls that wait for a slot: by priority, then fair between workspaces."""
+"""Queue of waiting calls, ordered by priority, then fairly among workspaces."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from damaskbay.core.admission.const import STANDING_FOR_S, STANDING_WAIT_S
+from damaskbay.core.admission.const import STANDING_QUEUE_AFTER_S, STANDING_QUEUE_WAIT_S
 from damaskbay.core.call import CallContext
 
 
 @dataclass(frozen=True, slots=True)
 class Waiting:
     """
-    A call that asks to be admitted.
+    A call that requests admission.
 
-    `weight` is its workspace's weight; `cost` is what its call tree has cost so
-    far (its depth), and grows with what a refusal would waste.
+    `weight` is the weight of its workspace. `cost` is the depth of the call in its
+    call tree: the deeper the call, the more work a refusal wastes.
     """
 
     ticket: int
@@ -24,8 +24,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
-    """A waiting call, when it came and until when it is worth waiting."""
+class QueueEntry:
+    """A queued call with its arrival time and the end of its allowed wait."""
 
     item: Waiting
     arrived_at: float
@@ -33,44 +33,44 @@
 
     @property
     def rank(self) -> int:
-        """Return the priority rank, 0 the most important."""
+        """Return the priority rank; 0 is the most important."""
         return self.item.context.priority_rank
 
     @property
     def workspace(self) -> str:
-        """Return the workspace whose share the call counts against."""
+        """Return the workspace that is charged for the call."""
         return self.item.context.workspace
 
 
 @dataclass(slots=True)
 class _WorkspaceQueue:
-    """One workspace's entries of one rank, by cost and in order of arrival."""
+    """Queued calls of one workspace and rank, by cost and in order of arrival."""
 
     weight: float = 1.0
-    served: float = 0.0
+    virtual_time: float = 0.0
     count: int = 0
-    by_cost: dict[int, OrderedDict[int, Entry]] = field(default_factory=dict)
+    by_cost: dict[int, OrderedDict[int, QueueEntry]] = field(default_factory=dict)
 
-    def push(self, entry: Entry) -> None:
+    def push(self, entry: QueueEntry) -> None:
         by_ticket = self.by_cost.setdefault(entry.item.cost, OrderedDict())
         by_ticket[entry.item.ticket] = entry
         self.weight = max(entry.item.weight, 1e-6)
         self.count += 1
 
-    def remove(self, entry: Entry) -> None:
+    def remove(self, entry: QueueEntry) -> None:
         by_ticket = self.by_cost[entry.item.cost]
         del by_ticket[entry.item.ticket]
         if not by_ticket:
             del self.by_cost[entry.item.cost]
         self.count -= 1
 
-    def next(self, *, newest: bool) -> Entry:
+    def next_to_start(self, *, newest: bool) -> QueueEntry:
         by_ticket = self.by_cost[max(self.by_cost)]
         return next(
             reversed(by_ticket.values()) if newest else iter(by_ticket.values())
         )
 
-    def last(self, *, newest: bool) -> Entry:
+    def next_to_refuse(self, *, newest: bool) -> QueueEntry:
         by_ticket = self.by_cost[min(self.by_cost)]
         return next(
             reversed(by_ticket.values()) if newest else iter(by_ticket.values())
@@ -78,88 +78,94 @@
 
 
 class _RankQueue:
-    """The waiting calls of one rank and how much each workspace was served."""
+    """Queued calls of one rank, with the virtual time of weighted fair queueing."""
 
     def __init__(self) -> None:
         self.by_workspace: dict[str, _WorkspaceQueue] = {}
-        self.served = 0.0
+        self.virtual_time = 0.0
         self.count = 0
 
-    def push(self, entry: Entry) -> None:
+    def push(self, entry: QueueEntry) -> None:
         workspace = self.by_workspace.setdefault(entry.workspace, _WorkspaceQueue())
         if not workspace.count:
-            workspace.served = max(workspace.served, self.served)
+            workspace.virtual_time = max(workspace.virtual_time, self.virtual_time)
         workspace.push(entry)
         self.count += 1
 
-    def remove(self, entry: Entry) -> None:
+    def remove(self, entry: QueueEntry) -> None:
         self.by_workspace[entry.workspace].remove(entry)
         self.count -= 1
 
-    def next(self, *, newest: bool) -> Entry:
+    def next_to_start(self, *, newest: bool) -> QueueEntry:
         waiting = (item for item in self.by_workspace.values() if item.count)
-        return min(waiting, key=lambda item: item.served).next(newest=newest)
+        return min(waiting, key=lambda item: item.virtual_time).next_to_start(
+            newest=newest
+        )
 
-    def last(self, *, newest: bool) -> Entry:
+    def next_to_refuse(self, *, newest: bool) -> QueueEntry:
         waiting = (item for item in self.by_workspace.values() if item.count)
-        longest = max(waiting, key=lambda item: item.count / item.weight)
-        return longest.last(newest=newest)
+        most_waiting = max(waiting, key=lambda item: item.count / item.weight)
+        return most_waiting.next_to_refuse(newest=newest)
 
     def charge_unqueued(self, name: str, weight: float) -> None:
         workspace = self.by_workspace.get(name)
         if workspace is None:
             workspace = self.by_workspace[name] = _WorkspaceQueue()
-        workspace.served = max(workspace.served, self.served)
+        workspace.virtual_time = max(workspace.virtual_time, self.virtual_time)
         workspace.weight = max(weight, 1e-6)
         self._charge(workspace)
 
-    def charge(self, entry: Entry) -> None:
+    def charge(self, entry: QueueEntry) -> None:
         self._charge(self.by_workspace[entry.workspace])
 
     def _charge(self, workspace: _WorkspaceQueue) -> None:
-        self.served = max(self.served, workspace.served)
-        workspace.served += 1.0 / workspace.weight
+        self.virtual_time = max(self.virtual_time, workspace.virtual_time)
+        workspace.virtual_time += 1.0 / workspace.weight
 
     def forget_idle(self) -> None:
         self.by_workspace = {
             name: item
             for name, item in self.by_workspace.items()
-            if item.count or item.served > self.served
+            if item.count or item.virtual_time > self.virtual_time
         }
 
 
 class WaitingQueue:
     """
-    Orders waiting calls: most important rank first, then fair share.
+    Priority queue with weighted fair queueing among the workspaces of a rank.
 
-    Within a workspace the costliest call tree goes first; the oldest call of it,
-    but the newest once the queue has been standing for a while.
+    Within a workspace, the call with the highest cost starts first. Among equal
+    costs this is the oldest call, or the newest in a standing queue.
     """
 
     def __init__(self) -> None:
         self._by_rank: dict[int, _RankQueue] = {}
-        self._by_ticket: dict[int, Entry] = {}
+        self._by_ticket: dict[int, QueueEntry] = {}
         self._standing_since: float | None = None
 
     def __len__(self) -> int:
         return len(self._by_ticket)
 
     def count_up_to(self, rank: int) -> int:
-        """Return how many calls of this rank or a more important one wait."""
-        return sum(q.count for number, q in self._by_rank.items() if number <= rank)
+        """Return the number of queued calls of this or a more important rank."""
+        return sum(
+            queue.count
+            for other_rank, queue in self._by_rank.items()
+            if other_rank <= rank
+        )
 
-    def from_last(self) -> Iterator[Entry]:
-        """Iterate over a copy, the least important rank first."""
+    def least_important_first(self) -> Iterator[QueueEntry]:
+        """Iterate over a copy of the queue, least important rank first."""
         entries = self._by_ticket.values()
         return iter(sorted(entries, key=lambda entry: -entry.rank))
 
-    def push(self, entry: Entry) -> None:
-        """Add a call."""
+    def push(self, entry: QueueEntry) -> None:
+        """Add a call to the queue."""
         self._by_ticket[entry.item.ticket] = entry
         self._by_rank.setdefault(entry.rank, _RankQueue()).push(entry)
 
-    def remove(self, ticket: int) -> Entry | None:
-        """Take one call out, wherever it stands."""
+    def remove(self, ticket: int) -> QueueEntry | None:
+        """Remove a call from any position; return None if it isn't queued."""
         entry = self._by_ticket.pop(ticket, None)
         if entry is not None:
             self._by_rank[entry.rank].remove(entry)
@@ -167,43 +173,45 @@
             self._standing_since = None
         return entry
 
-    def charge(self, rank: int, workspace: str, weight: float) -> None:
-        """Charge a call to its workspace that starts without having waited."""
+    def charge_unqueued(self, rank: int, workspace: str, weight: float) -> None:
+        """Charge a workspace for a call that starts without waiting."""
         queue = self._by_rank.get(rank)
         if queue is None:
             queue = self._by_rank[rank] = _RankQueue()
         queue.charge_unqueued(workspace, weight)
         self._standing_since = None
 
-    def next(self, now: float) -> Entry:
+    def next_to_start(self, now: float) -> QueueEntry:
         """Return the call to start next; the queue must not be empty."""
         rank = min(rank for rank, queue in self._by_rank.items() if queue.count)
-        return self._by_rank[rank].next(newest=self.stands(now))
+        return self._by_rank[rank].next_to_start(newest=self.is_standing(now))
 
-    def last(self, now: float) -> Entry:
+    def next_to_refuse(self, now: float) -> QueueEntry:
         """Return the call to refuse first; the queue must not be empty."""
-        return self._by_rank[self.last_rank()].last(newest=not self.stands(now))
+        return self._by_rank[self.least_important_rank()].next_to_refuse(
+            newest=not self.is_standing(now)
+        )
 
-    def last_rank(self) -> int:
-        """Return the least important rank that waits; the queue must not be empty."""
+    def least_important_rank(self) -> int:
+        """Return the least important queued rank; the queue must not be empty."""
         return max(rank for rank, queue in self._by_rank.items() if queue.count)
 
-    def started(self, entry: Entry, now: float) -> None:
-        """Charge a call that leaves the queue for a slot to its workspace."""
+    def remove_started(self, entry: QueueEntry, now: float) -> None:
+        """Remove a call that starts and charge its workspace."""
         self._by_rank[entry.rank].charge(entry)
         waited_s = now - entry.arrived_at
         self.remove(entry.item.ticket)
-        if waited_s < STANDING_WAIT_S:
+        if waited_s < STANDING_QUEUE_WAIT_S:
             self._standing_since = None
         elif self._standing_since is None:
             self._standing_since = now
 
-    def stands(self, now: float) -> bool:
-        """Tell whether calls have had to wait for some time on end."""
+    def is_standing(self, now: float) -> bool:
+        """Return whether started calls have had to wait for STANDING_QUEUE_AFTER_S."""
         since = self._standing_since
-        return since is not None and now - since >= STANDING_FOR_S
+        return since is not None and now - since >= STANDING_QUEUE_AFTER_S
 
     def forget_idle(self) -> None:
-        """Drop what is kept of workspaces that owe nothing and wait for nothing."""
+        """Drop workspaces that have no queued calls and no virtual time ahead."""
         for queue in self._by_rank.values():
             queue.forget_idle()
--- a/tests/core/admission/common.py
+++ b/tests/core/admission/common.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of admission."""
+"""Fixtures for the tests of admission."""
 
 from random import Random
 
@@ -17,7 +17,7 @@
 def make_controller(
     slots: int = 2, *, queue_per_slot: float = 1.0
 ) -> AdmissionController:
-    """Return a controller whose limit is its slots."""
+    """Return a controller whose limit equals its slots."""
     options = AdmissionOptions(
         slots,
         queue_per_slot=queue_per_slot,
@@ -35,7 +35,7 @@
     weight: float = 1.0,
     cost: int = 0,
 ) -> Waiting:
-    """Return a call that asks for admission."""
+    """Return a call that requests admission."""
     context = make_context(
         workspace=workspace, priority_rank=rank, deadline=deadline, depth=cost
     )
@@ -43,10 +43,10 @@
 
 
 def starts(decisions: tuple[Decision, ...]) -> list[int]:
-    """Return the tickets that start, in order."""
+    """Return the tickets of started calls, in order."""
     return [item.ticket for item in decisions if isinstance(item, Start)]
 
 
 def refusals(decisions: tuple[Decision, ...]) -> list[int]:
-    """Return the tickets that are refused, in order."""
+    """Return the tickets of refused calls, in order."""
     return [item.ticket for item in decisions if isinstance(item, Refuse)]
--- a/tests/core/admission/test_controller.py
+++ b/tests/core/admission/test_controller.py
@@ -15,7 +15,7 @@
     Sample,
     Start,
 )
-from damaskbay.core.admission.const import QUEUE_SHORTEST
+from damaskbay.core.admission.const import QUEUE_MIN_LENGTH
 from damaskbay.core.admission.latency import LatencyEstimate
 from damaskbay.core.outcome import Reason
 from tests.common import function_suite
@@ -38,8 +38,8 @@
 )
 
 
-class History:
-    """Runs random steps and checks each decision against those before it."""
+class RandomRun:
+    """Runs random steps and checks each decision against the calls still waiting."""
 
     def __init__(self) -> None:
         self.controller = make_controller(SLOTS)
@@ -48,17 +48,17 @@
         self.running: list[int] = []
 
     def run(self, steps: list[Step]) -> None:
-        """Run the steps, each some time after the one before."""
+        """Run the steps, each after its delay."""
         now = 0.0
-        for kind, rank, workspace, pick, wait_s in steps:
-            now += wait_s
-            if kind == "offer":
-                self.offer(rank, f"w{workspace}", now + 0.2 + pick / 10, now)
-            elif kind == "finish" and self.running:
-                ticket = self.running.pop(pick % len(self.running))
+        for action, rank, workspace, index, delay_s in steps:
+            now += delay_s
+            if action == "offer":
+                self.offer(rank, f"w{workspace}", now + 0.2 + index / 10, now)
+            elif action == "finish" and self.running:
+                ticket = self.running.pop(index % len(self.running))
                 self.check(self.controller.finish(ticket, Sample(0.05), now))
-            elif kind == "withdraw" and self.waiting:
-                ticket = self.waiting.pop(pick % len(self.waiting))
+            elif action == "withdraw" and self.waiting:
+                ticket = self.waiting.pop(index % len(self.waiting))
                 self.check(self.controller.withdraw(ticket, now))
             else:
                 self.check(self.controller.expire(now))
@@ -72,7 +72,7 @@
         self.check(self.controller.offer(item, now))
 
     def check(self, decisions: tuple[Decision, ...]) -> None:
-        """Take decisions one by one, as the daemon does."""
+        """Apply and check decisions one by one, as the daemon does."""
         for decision in decisions:
             self.waiting.remove(decision.ticket)
             rank = self.rank_by_ticket[decision.ticket]
@@ -90,15 +90,15 @@
 @given(random_steps)
 def test_important_calls_are_shed_last(steps: list[Step]) -> None:
     """
-    Nothing less important starts before a call, or stays when it is refused.
+    No less important call starts before a call, or stays queued when it is refused.
 
-    Every ticket gets one decision at most, and no more run than there are slots.
+    Each ticket gets at most one decision, and at most SLOTS calls run.
     """
-    History().run(steps)
+    RandomRun().run(steps)
 
 
 def test_arriving_important_call_displaces_a_waiting_one() -> None:
-    """With slots and queue full of browsing, a filing takes a place."""
+    """A call of rank 0 replaces a queued call of rank 2 when the queue is full."""
     controller = make_controller(1)
     for ticket in range(5):
         controller.offer(call(ticket, rank=2), 0.0)
@@ -111,7 +111,7 @@
 
 
 def test_cold_server_queues_important_calls_up_to_its_slots() -> None:
-    """A low limit refuses calls of the first rank only past the slots."""
+    """With a low limit, calls of rank 0 are refused only beyond the slots."""
     cold = AdmissionOptions(8, limit=lambda slots, now: FixedLimit(1))
     controller = AdmissionController(cold, Random(1), 0.0)
     refused = [
@@ -121,11 +121,11 @@
     controller = AdmissionController(cold, Random(1), 0.0)
     for ticket in range(10):
         controller.offer(call(ticket, rank=1), 0.0)
-    assert controller.waiting == QUEUE_SHORTEST
+    assert controller.waiting == QUEUE_MIN_LENGTH
 
 
 def test_small_workspace_beside_one_at_five_times_its_rate() -> None:
-    """Two workspaces of one weight get one slot each in turn, however many ask."""
+    """Two workspaces of equal weight alternate, whatever their number of calls."""
     controller = make_controller(1, queue_per_slot=20.0)
     for ticket in range(100):
         name = "small" if ticket % 6 == 0 else "large"
@@ -154,7 +154,7 @@
 
 
 def test_tree_that_cost_much_goes_first() -> None:
-    """Within a workspace's priority the deeper call starts before a new tree."""
+    """Within a workspace and rank, a deeper call starts before a new call tree."""
     controller = make_controller(1)
     controller.offer(call(0), 0.0)
     controller.offer(call(1), 0.0)
@@ -163,7 +163,7 @@
 
 
 def test_newest_first_once_the_queue_stands() -> None:
-    """When calls had to wait for some time, the freshest has the best chance."""
+    """In a standing queue, the newest call starts first."""
     controller = make_controller(1, queue_per_slot=10.0)
     for ticket in range(9):
         controller.offer(call(ticket), 0.0)
@@ -175,12 +175,12 @@
 
 
 def test_work_that_cannot_end_in_time_does_not_start() -> None:
-    """A call whose deadline is nearer than the usual latency is refused."""
+    """A call with less time left than the estimated latency is refused."""
     controller = make_controller(1)
     for ticket in range(10):
         controller.offer(call(ticket), 0.0)
         controller.finish(ticket, Sample(0.5), 0.0)
-    assert starts(controller.offer(call(10, deadline=0.3), 0.1)) == [10], "a trial"
+    assert starts(controller.offer(call(10, deadline=0.3), 0.1)) == [10], "a probe"
     controller.finish(10, Sample(0.5), 0.12)
     (decision,) = controller.offer(call(11, deadline=0.3), 0.15)
     assert isinstance(decision, Refuse)
@@ -189,7 +189,7 @@
 
 
 def test_slow_spell_does_not_keep_every_call_out() -> None:
-    """A stalled server's latency is forgotten, though no call meets it."""
+    """A latency estimate beyond every deadline decays, so that calls start again."""
     controller = make_controller(1)
     controller.offer(call(0), 0.0)
     controller.finish(0, Sample(10.0), 10.0)
@@ -204,16 +204,16 @@
 
 
 def test_latency_estimate_fades_in_silence() -> None:
-    """Without new samples an old estimate does not stay."""
+    """Without new samples the estimate decays."""
     estimate = LatencyEstimate()
     for step in range(20):
         estimate.add(8.0, step * 0.01)
-    assert estimate.seconds(0.5) == 8.0
-    assert estimate.seconds(5.0) < 0.1
+    assert estimate.current_s(0.5) == 8.0
+    assert estimate.current_s(5.0) < 0.1
 
 
 def test_passed_deadline_in_the_queue() -> None:
-    """A call that waited past its deadline is refused as not run."""
+    """A queued call whose deadline has passed is refused as not run."""
     controller = make_controller(1)
     controller.offer(call(0), 0.0)
     controller.offer(call(1, deadline=1.0), 0.0)
@@ -225,7 +225,7 @@
 
 
 def test_retry_after_spreads() -> None:
-    """Refused callers are sent back at different times, later the more there are."""
+    """Retry delays are random and grow with the number of refusals."""
     controller = make_controller(1)
     waits: list[float] = []
     for ticket in range(60):
@@ -237,7 +237,7 @@
 
 
 def test_slots_can_change_while_calls_wait() -> None:
-    """More slots start what waits; fewer let what runs end."""
+    """More slots start queued calls; fewer slots let running calls end."""
     controller = make_controller(1)
     for ticket in range(3):
         controller.offer(call(ticket), 0.0)
--- a/tests/core/admission/test_limit.py
+++ b/tests/core/admission/test_limit.py
@@ -14,18 +14,18 @@
 from tests.common import function_suite
 
 SLOTS = 64
-Latency = Callable[[int], float]
+LatencyModel = Callable[[int], float]
 
 
 class Server:
-    """A saturated server: each call's latency depends on how many run."""
+    """A saturated server whose latency depends on the number of running calls."""
 
     def __init__(self, limit: ConcurrencyLimit) -> None:
         self.limit = limit
         self.now = 0.0
 
-    def run(self, seconds: float, latency: Latency) -> int:
-        """Keep the limit full for a time; return the limit after it."""
+    def run(self, seconds: float, latency: LatencyModel) -> int:
+        """Run calls up to the limit for some time; return the new limit."""
         until = self.now + seconds
         while self.now < until:
             running = self.limit.value()
@@ -36,37 +36,37 @@
 
 
 def flat(running: int) -> float:
-    """Take 50 ms, however many run."""
+    """Return 50 ms at any concurrency."""
     return 0.05
 
 
-def crowded(running: int) -> float:
-    """Get slower by more than it helps once half of the slots run."""
+def superlinear(running: int) -> float:
+    """Return a latency that grows faster than concurrency beyond half of the slots."""
     return 0.05 * math.pow(max(1.0, 2 * running / SLOTS), 1.5)
 
 
 def slow(running: int) -> float:
-    """Take ten times as long, however many run."""
+    """Return ten times the flat latency at any concurrency."""
     return 0.5
 
 
 def test_reaches_the_slots_and_never_exceeds_them() -> None:
-    """A server that is not slowed by more calls gets all its slots."""
+    """Constant latency raises the limit to all slots."""
     server = Server(GradientLimit(SLOTS, 0.0))
     assert server.limit.value() < SLOTS
     assert server.run(5.0, flat) == SLOTS
 
 
 def test_stays_below_the_slots_where_more_calls_bring_less() -> None:
-    """Latency that rises with the calls at once brings the limit down."""
+    """Latency that rises with concurrency lowers the limit."""
     server = Server(GradientLimit(SLOTS, 0.0))
-    server.run(10.0, crowded)
-    limits = [server.run(0.5, crowded) for _ in range(20)]
+    server.run(10.0, superlinear)
+    limits = [server.run(0.5, superlinear) for _ in range(20)]
     assert sum(limits) / len(limits) < 0.85 * SLOTS
 
 
 def test_slowness_from_elsewhere_does_not_cut() -> None:
-    """A server slowed by something else keeps its slots, and after it too."""
+    """Latency from another cause doesn't lower the limit, nor does its end."""
     server = Server(GradientLimit(SLOTS, 0.0))
     server.run(5.0, flat)
     assert server.run(10.0, slow) == SLOTS
@@ -74,7 +74,7 @@
 
 
 def test_failures_cut() -> None:
-    """Calls that fail at the server bring the limit down, and it comes back."""
+    """Failures lower the limit; it recovers after they end."""
     limit = GradientLimit(SLOTS, 0.0)
     server = Server(limit)
     server.run(5.0, flat)
@@ -87,7 +87,7 @@
 
 
 def test_waiting_for_nested_calls_is_not_the_server_s_latency() -> None:
-    """A call that waits for a slow deep service does not cut its caller."""
+    """A slow nested call doesn't lower the limit of its caller's server."""
     limit = GradientLimit(SLOTS, 0.0)
     Server(limit).run(5.0, flat)
     for step in range(400):
@@ -97,7 +97,7 @@
 
 
 def test_cancelled_calls_teach_nothing() -> None:
-    """Calls that their callers gave up leave the limit alone."""
+    """Cancelled calls don't change the limit."""
     limit = GradientLimit(SLOTS, 0.0)
     Server(limit).run(5.0, flat)
     for step in range(400):
@@ -106,10 +106,10 @@
 
 
 def test_aimd_and_fixed_stay_in_bounds() -> None:
-    """The other limits go from 1 to the slots too."""
+    """The AIMD and fixed limits stay between 1 and the slots."""
     for limit in (AimdLimit(SLOTS, 0.0), FixedLimit(SLOTS)):
         server = Server(limit)
-        for latency in (flat, crowded, slow, flat):
+        for latency in (flat, superlinear, slow, flat):
             server.run(5.0, latency)
             assert 1 <= limit.value() <= SLOTS
         limit.set_slots(1)
