--- a/damaskbay/core/routing/__init__.py
+++ b/damaskbay/core/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions on where a call goes, and whether it is sent at all."""
+"""Routing of calls: server choice and early refusal."""
 
 from damaskbay.core.routing.health import FAILURES_BY_REASON, FailureKind, RouteOutcome
 from damaskbay.core.routing.router import Router, RouterOptions
--- a/damaskbay/core/routing/router.py
+++ b/damaskbay/core/routing/router.py
@@ -1,4 +1,4 @@
-"""Choice of the backend server for a call, and early refusal."""
+"""Choice of the backend server for a call, and early refusal of calls."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -7,15 +7,15 @@
 from damaskbay.core.call import CallContext
 from damaskbay.core.outcome import Reason, Refusal, not_run
 from damaskbay.core.routing.const import (
-    DOMAIN_ROOM_SHARE,
+    DOMAIN_MAX_SCORE,
     EARLY_RETRY_AFTER_MAX_S,
     EARLY_RETRY_AFTER_S,
-    EJECTED_MOST_SHARE,
-    FAR_PENALTY,
-    FORGET_AFTER_S,
-    LOCAL_ROOM_SHARE,
+    HEALTH_EXPIRY_S,
+    LOCAL_MAX_OCCUPANCY,
+    MAX_EJECTED_SHARE,
     PASS_LOWEST,
-    SAMPLED_SERVERS,
+    REMOTE_PENALTY,
+    SAMPLE_SIZE,
 )
 from damaskbay.core.routing.demand import DemandMeter, wait_by_share_s
 from damaskbay.core.routing.health import Health, RouteOutcome
@@ -25,10 +25,11 @@
 @dataclass(frozen=True, slots=True)
 class RouterOptions:
     """
-    What a daemon's routing goes by.
+    Routing settings of a daemon.
 
-    With `trust_load` the load that daemons report of the servers beside them
-    counts, since they alone send there; otherwise it only breaks ties.
+    With `trust_load`, scores use the load that daemons report for their local
+    servers. It is complete, because only these daemons send calls to them.
+    Otherwise reported load only breaks ties.
     """
 
     failure_domain: str
@@ -37,17 +38,18 @@
 
 class Router:
     """
-    Chooses among the servers of a pool by what this daemon measured itself.
+    Chooses a server of a pool, mainly by the measurements of this daemon.
 
-    The local server goes first while it has room, then the own failure domain,
-    then the others where the pool allows them. Reported load only breaks ties
-    and fades. Not safe for threads; times in seconds of one monotonic clock.
+    The local server is preferred while it has room, then the local failure domain,
+    then remote ones if the pool allows them. Unless `trust_load` is set, reported
+    load only breaks ties and loses weight with age. Not thread-safe; times are in
+    seconds of one monotonic clock.
     """
 
     def __init__(self, options: RouterOptions, rng: Random) -> None:
         self._options = options
         self._rng = rng
-        self._by_instance: dict[str, Health] = {}
+        self._health_by_instance: dict[str, Health] = {}
         self._demand = DemandMeter()
 
     def choose(
@@ -61,40 +63,45 @@
         local_room: bool | None = None,
     ) -> ServerView | Refusal:
         """
-        Return the server to send a call to, or a refusal where there is none.
+        Return the server for a call, or a refusal if there is none.
 
-        `other_domains` is what the pool allows. `local_room` is what the gate of
-        the local backend server says, None where it is not at hand.
+        `other_domains` is whether the pool allows remote failure domains.
+        `local_room` is whether the local backend server has room, or None if
+        unknown.
         """
-        allowed = self._allowed(servers, other_domains)
+        allowed = self._eligible_servers(servers, other_domains)
         if excluded:
             allowed = [view for view in allowed if view.instance not in excluded]
-        usable = self._sampled(allowed)
+        usable = self._sample(allowed)
         if not usable:
-            return not_run(Reason.NO_BACKEND_SERVER, retry_after_s=self._wait_s(1.0))
-        if self._look(usable, now):
-            trickle = self._trickle(usable, context, now)
-            if trickle is not None:
-                return trickle
-            usable = self._usable(usable)
+            return not_run(
+                Reason.NO_BACKEND_SERVER, retry_after_s=self._retry_delay_s(1.0)
+            )
+        if self._update_health(usable, now):
+            probe = self._server_to_probe(usable, context, now)
+            if probe is not None:
+                return probe
+            usable = self._without_ejected(usable)
         local = next((view for view in usable if view.local), None)
-        if local is not None and self._has_room(local, context, now, local_room):
+        if local is not None and self._local_has_room(local, context, now, local_room):
             return local
-        return self._pick(self._nearest(usable, context, now), context, now)
+        return self._pick_better(
+            self._preferred_servers(usable, context, now), context, now
+        )
 
     def started(self, instance: str, now: float) -> None:
-        """Count a call that is sent to a chosen server."""
-        health = self._by_instance.get(instance)
+        """Record a call sent to a chosen server."""
+        health = self._health_by_instance.get(instance)
         if health is not None:
-            health.started(now)
+            health.record_start(now)
 
     def finished(self, instance: str, outcome: RouteOutcome, now: float) -> None:
-        """Count the end of a call; each `started` needs one."""
-        health = self._by_instance.get(instance)
+        """Record the end of a call; each `started` needs one."""
+        health = self._health_by_instance.get(instance)
         if health is None:
             return
-        health.finished(outcome, now)
-        if health.failing() and not health.ejected():
+        health.record_end(outcome, now)
+        if health.is_outlier() and not health.is_ejected():
             health.eject(now, self._rng)
 
     def early_refusal(
@@ -107,22 +114,22 @@
         other_domains: bool = True,
     ) -> Refusal | None:
         """
-        Refuse a call that the pool's servers would most likely refuse.
+        Return a refusal if the pool's servers would most likely refuse the call.
 
-        Goes by the admission levels that answers carried, which fade. A small
-        part of the calls of the least important rank that still passes goes
-        through in any case, so that recovery is seen. Within a rank, workspaces
-        get fair shares by `weight` of what passes. A call tree that has already
-        cost much is refused less often than a new one.
+        The decision uses the admission levels in responses, which expire. If a rank
+        is shed completely but the rank above passes, a small share of its calls passes
+        anyway, so that recovery is detected. Within a rank, workspaces get
+        shares by `weight` of the calls that pass. Deep calls are refused less often
+        than new call trees, because more work would be wasted.
         """
-        allowed = self._sampled(self._allowed(servers, other_domains))
+        allowed = self._sample(self._eligible_servers(servers, other_domains))
         if not allowed:
             return None
-        share = self._pass_share(allowed, context.priority_rank, now)
+        share = self._pool_pass_share(allowed, context.priority_rank, now)
         if share <= 0.0:
-            above = self._pass_share(allowed, context.priority_rank - 1, now)
-            share = PASS_LOWEST if above >= 1.0 else 0.0
-        kept = self._demand.pass_share(
+            share_above = self._pool_pass_share(allowed, context.priority_rank - 1, now)
+            share = PASS_LOWEST if share_above >= 1.0 else 0.0
+        pass_probability = self._demand.pass_share(
             context.pool,
             context.priority_rank,
             context.workspace,
@@ -130,162 +137,168 @@
             share=share ** (1.0 / (1 + context.depth)),
             now=now,
         )
-        if self._rng.random() < kept:
+        if self._rng.random() < pass_probability:
             return None
-        return not_run(Reason.OVERLOADED, retry_after_s=self._wait_s(share))
+        return not_run(Reason.OVERLOADED, retry_after_s=self._retry_delay_s(share))
 
     def forget(self, now: float) -> None:
-        """Drop what is known of servers not seen for long; call now and then."""
-        self._by_instance = {
+        """Drop the state of servers not seen for HEALTH_EXPIRY_S; call periodically."""
+        self._health_by_instance = {
             instance: health
-            for instance, health in self._by_instance.items()
-            if health.outstanding or now - health.seen_at < FORGET_AFTER_S
+            for instance, health in self._health_by_instance.items()
+            if health.in_flight or now - health.last_seen_at < HEALTH_EXPIRY_S
         }
 
-    def _allowed(
+    def _eligible_servers(
         self, servers: Sequence[ServerView], other_domains: bool
     ) -> list[ServerView]:
-        own = self._options.failure_domain
+        local_domain = self._options.failure_domain
         return [
             view
             for view in servers
             if view.state is ServerState.READY
-            and (other_domains or view.failure_domain == own)
+            and (other_domains or view.failure_domain == local_domain)
         ]
 
-    def _sampled(self, servers: list[ServerView]) -> list[ServerView]:
-        """Return a few servers of a large pool, drawn anew for each call."""
-        if len(servers) <= 2 * SAMPLED_SERVERS:
+    def _sample(self, servers: list[ServerView]) -> list[ServerView]:
+        """Return a new random sample of a large pool, or all of a small one."""
+        if len(servers) <= 2 * SAMPLE_SIZE:
             return servers
-        own = self._options.failure_domain
-        near = [view for view in servers if view.failure_domain == own]
-        far = [view for view in servers if view.failure_domain != own]
-        local = [view for view in near if view.local]
-        sampled = self._draw(near) + self._draw(far)
+        local_domain = self._options.failure_domain
+        same_domain = [view for view in servers if view.failure_domain == local_domain]
+        remote = [view for view in servers if view.failure_domain != local_domain]
+        local = [view for view in same_domain if view.local]
+        sampled = self._draw_sample(same_domain) + self._draw_sample(remote)
         return sampled + [view for view in local if view not in sampled]
 
-    def _draw(self, servers: list[ServerView]) -> list[ServerView]:
-        return self._rng.sample(servers, min(len(servers), SAMPLED_SERVERS))
+    def _draw_sample(self, servers: list[ServerView]) -> list[ServerView]:
+        return self._rng.sample(servers, min(len(servers), SAMPLE_SIZE))
 
-    def _look(self, servers: Sequence[ServerView], now: float) -> bool:
-        """Take in what is reported; tell whether any of the servers is ejected."""
+    def _update_health(self, servers: Sequence[ServerView], now: float) -> bool:
+        """Update health from fleet reports; return whether any server is ejected."""
         ejected = False
         for view in servers:
-            health = self._by_instance.get(view.instance)
+            health = self._health_by_instance.get(view.instance)
             if health is None or health.incarnation != view.incarnation:
-                self._by_instance[view.instance] = Health(view, now)
+                self._health_by_instance[view.instance] = Health(view, now)
                 continue
-            health.look(view, now)
-            if health.ejected():
+            health.update(view, now)
+            if health.is_ejected():
                 ejected = True
         return ejected
 
-    def _trickle(
+    def _server_to_probe(
         self, servers: Sequence[ServerView], context: CallContext, now: float
     ) -> ServerView | None:
-        """Return an ejected server that is due for a real call, if any."""
+        """Return an ejected server due for a probe; only idempotent calls may probe."""
         if not context.idempotent:
             return None
         for view in servers:
-            if self._by_instance[view.instance].trickle_due(now):
+            if self._health_by_instance[view.instance].probe_due(now):
                 return view
         return None
 
-    def _usable(self, servers: list[ServerView]) -> list[ServerView]:
-        """Leave out ejected servers, but never more than a share of the pool."""
+    def _without_ejected(self, servers: list[ServerView]) -> list[ServerView]:
+        """Leave out ejected servers unless they exceed MAX_EJECTED_SHARE of all."""
         ejected = {
             view.instance
             for view in servers
-            if self._by_instance[view.instance].ejected()
+            if self._health_by_instance[view.instance].is_ejected()
         }
-        if len(ejected) > EJECTED_MOST_SHARE * len(servers):
+        if len(ejected) > MAX_EJECTED_SHARE * len(servers):
             return servers
         return [view for view in servers if view.instance not in ejected]
 
-    def _has_room(
+    def _local_has_room(
         self,
         local: ServerView,
         context: CallContext,
         now: float,
         local_room: bool | None,
     ) -> bool:
-        health = self._by_instance[local.instance]
+        health = self._health_by_instance[local.instance]
         if local_room is not None:
             return local_room
         if self._options.trust_load:
-            return health.trusted_occupancy(local, now) <= LOCAL_ROOM_SHARE
+            return health.reported_occupancy(local, now) <= LOCAL_MAX_OCCUPANCY
         if health.pass_share(context.priority_rank, now) < 1.0:
             return False
-        return health.occupancy(local, now) <= LOCAL_ROOM_SHARE
+        return health.measured_occupancy(local, now) <= LOCAL_MAX_OCCUPANCY
 
-    def _nearest(
+    def _preferred_servers(
         self, servers: list[ServerView], context: CallContext, now: float
     ) -> list[ServerView]:
         """
-        Return the own domain's servers with room, all where there is none.
+        Return the servers of the local domain with room, or all if there are none.
 
-        With trusted loads all are returned: far ones cost more in their score.
+        With `trust_load` all are returned; the score penalizes remote servers.
         """
         if self._options.trust_load:
             return servers
-        own = self._options.failure_domain
+        local_domain = self._options.failure_domain
         rank = context.priority_rank
-        near = []
+        same_domain = []
         for view in servers:
             score = self._score(view, rank, now)
-            if view.failure_domain == own and score <= DOMAIN_ROOM_SHARE:
-                near.append(view)
-        return near or servers
+            if view.failure_domain == local_domain and score <= DOMAIN_MAX_SCORE:
+                same_domain.append(view)
+        return same_domain or servers
 
-    def _pick(
+    def _pick_better(
         self, servers: list[ServerView], context: CallContext, now: float
     ) -> ServerView:
-        """Return the better of two servers, of the own domain and any other."""
+        """
+        Return the better of two random servers.
+
+        With `trust_load` the best server of the local domain replaces the first.
+        """
         if len(servers) == 1:
             return servers[0]
-        first, second = self._two(servers)
+        first, second = self._draw_two(servers)
         rank = context.priority_rank
         score = self._score(first, rank, now)
         if self._options.trust_load:
-            own = self._options.failure_domain
+            local_domain = self._options.failure_domain
             for view in servers:
-                if view.failure_domain != own or view is first:
+                if view.failure_domain != local_domain or view is first:
                     continue
                 other = self._score(view, rank, now)
-                if other < score or first.failure_domain != own:
+                if other < score or first.failure_domain != local_domain:
                     first, score = view, other
         if second is not first and self._score(second, rank, now) < score:
             return second
         return first
 
-    def _two(self, servers: list[ServerView]) -> tuple[ServerView, ServerView]:
-        """Draw two servers of a list of two or more."""
+    def _draw_two(self, servers: list[ServerView]) -> tuple[ServerView, ServerView]:
+        """Draw two different servers from a list of two or more."""
         first = int(self._rng.random() * len(servers))
         second = int(self._rng.random() * (len(servers) - 1))
         return servers[first], servers[second + (second >= first)]
 
     def _score(self, view: ServerView, rank: int, now: float) -> float:
-        health = self._by_instance[view.instance]
+        health = self._health_by_instance[view.instance]
         if self._options.trust_load:
-            far = view.failure_domain != self._options.failure_domain
-            return health.trusted_score(view, now) + (FAR_PENALTY if far else 0.0)
-        return health.score(view, rank, now)
+            remote = view.failure_domain != self._options.failure_domain
+            return health.reported_score(view, now) + (
+                REMOTE_PENALTY if remote else 0.0
+            )
+        return health.measured_score(view, rank, now)
 
-    def _pass_share(
+    def _pool_pass_share(
         self, servers: Sequence[ServerView], rank: int, now: float
     ) -> float:
-        """Return the share of calls of a rank that the servers can take together."""
+        """Return the mean pass share of the servers for a rank, weighted by slots."""
         total = 0.0
         slots = 0
         for view in servers:
-            health = self._by_instance.get(view.instance)
+            health = self._health_by_instance.get(view.instance)
             weight = max(1, view.slots)
             total += weight * (health.pass_share(rank, now) if health else 1.0)
             slots += weight
         return total / slots
 
-    def _wait_s(self, share: float) -> float:
-        """Return a time to return, spread wider the less can pass."""
+    def _retry_delay_s(self, share: float) -> float:
+        """Return a random retry delay in seconds, longer the fewer calls pass."""
         return wait_by_share_s(
             share, EARLY_RETRY_AFTER_S, EARLY_RETRY_AFTER_MAX_S, self._rng
         )
--- a/tests/core/routing/common.py
+++ b/tests/core/routing/common.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of routing."""
+"""Fixtures for the tests of routing."""
 
 from random import Random
 
@@ -25,7 +25,7 @@
     state: ServerState = ServerState.READY,
     incarnation: int = 1,
 ) -> ServerView:
-    """Return a warm server of the pool campo."""
+    """Return a server of the pool campo, warm by default."""
     return ServerView(
         instance=instance,
         incarnation=incarnation,
@@ -43,5 +43,5 @@
 def outcome(
     *, level: int | None = None, failure: FailureKind | None = None
 ) -> RouteOutcome:
-    """Return the outcome of a call that took 50 ms."""
+    """Return the outcome of a call with a latency of 50 ms."""
     return RouteOutcome(0.05, level, failure)
--- a/tests/core/routing/test_router.py
+++ b/tests/core/routing/test_router.py
@@ -20,7 +20,7 @@
 def choose(
     router: Router, servers: Sequence[ServerView], now: float, *, rank: int = 1
 ) -> str:
-    """Return the instance of a choice that must be found."""
+    """Return the instance chosen for a call; a refusal fails the test."""
     context = make_context(priority_rank=rank)
     view = router.choose(servers, context, now=now)
     assert isinstance(view, ServerView)
@@ -30,7 +30,7 @@
 def spread(
     router: Router, servers: Sequence[ServerView], calls: int = 400, *, now: float = 0.0
 ) -> Counter[str]:
-    """Send calls that all stay out; return how many each server has."""
+    """Send calls that don't end; return the count per server."""
     chosen: Counter[str] = Counter()
     for _ in range(calls):
         instance = choose(router, servers, now)
@@ -40,7 +40,7 @@
 
 
 def fail(router: Router, instance: str, now: float, times: int = 5) -> None:
-    """Let calls to one server fail."""
+    """Record failed calls to one server."""
     for _ in range(times):
         router.started(instance, now)
         router.finished(instance, outcome(failure=FailureKind.LOST), now)
@@ -56,7 +56,7 @@
 
 
 def test_own_failure_domain_goes_first() -> None:
-    """Another domain gets calls only once the own one is full, and if allowed."""
+    """A remote domain gets calls only if the local one is full and the pool allows."""
     servers = (server("near"), server("far", failure_domain="b"))
     assert spread(make_router(), servers, 7) == {"near": 7}
     assert spread(make_router(), servers, 16)["far"] >= 5
@@ -69,7 +69,7 @@
 
 
 def test_large_pool_is_spread_and_the_local_server_found() -> None:
-    """Of a large pool a few are looked at per call, all over many calls."""
+    """Each call samples a large pool; many calls reach most of the local domain."""
     far = [server(f"far{number}", failure_domain="b") for number in range(60)]
     near = [server(f"near{number}") for number in range(60)]
     chosen = spread(make_router(), far + near, 300)
@@ -80,19 +80,19 @@
 
 
 def test_draining_and_excluded_servers_get_nothing() -> None:
-    """A leaving server and one that just failed are not chosen."""
-    leaving = server("leaving", state=ServerState.DRAINING)
+    """Draining servers and excluded servers are never chosen."""
+    draining = server("draining", state=ServerState.DRAINING)
     router = make_router()
     for _ in range(50):
         view = router.choose(
-            (leaving, *SERVERS), make_context(), excluded=frozenset({"s0"}), now=0.0
+            (draining, *SERVERS), make_context(), excluded=frozenset({"s0"}), now=0.0
         )
         assert isinstance(view, ServerView)
-        assert view.instance not in ("leaving", "s0")
+        assert view.instance not in ("draining", "s0")
 
 
 def test_lying_load_does_not_move_traffic() -> None:
-    """Servers that report no load while others report full ones get no flood."""
+    """A server with a false report of no load doesn't attract most of the calls."""
     servers = tuple(
         server(f"s{number}", slots=330, load=0.0 if number == 0 else 1.0)
         for number in range(4)
@@ -102,7 +102,7 @@
 
 
 def test_measured_outcomes_win_over_reported_ones() -> None:
-    """A server that reports ready and idle but fails is ejected, then tried again."""
+    """A server that reports ready and idle but fails is ejected."""
     router = make_router()
     assert choose(router, SERVERS, 0.0)
     fail(router, "s0", 0.0)
@@ -110,7 +110,7 @@
 
 
 def test_recovery_by_a_trickle_of_real_calls() -> None:
-    """An ejected server gets single calls, and its share back after successes."""
+    """An ejected server gets single probes; successes restore its share slowly."""
     router = make_router()
     choose(router, SERVERS, 0.0)
     fail(router, "s0", 0.0)
@@ -127,7 +127,7 @@
 
 
 def test_a_call_that_must_run_once_is_no_trickle() -> None:
-    """A non-idempotent call is not spent on trying a server that was failing."""
+    """A non-idempotent call is never used to probe an ejected server."""
     router = make_router()
     choose(router, SERVERS, 0.0)
     fail(router, "s0", 0.0)
@@ -149,7 +149,7 @@
 def test_ejection_never_empties_a_pool(
     count: int, failures: list[tuple[int, FailureKind, float]]
 ) -> None:
-    """Whatever fails, a pool with a ready server has one to choose."""
+    """A pool with ready servers always has one to choose, whatever fails."""
     servers = [server(f"s{number}") for number in range(count)]
     router = make_router()
     now = 0.0
@@ -163,7 +163,7 @@
 
 
 def test_cold_server_starts_slowly() -> None:
-    """A server that was just replaced gets few calls, and its share later."""
+    """A server that became ready recently gets few calls, and its share later."""
     cold = server("cold", slots=330, ready_at=0.0)
     servers = (cold, *(server(f"s{number}", slots=330) for number in range(3)))
     early = spread(make_router(), servers, 200, now=1.0)
@@ -173,16 +173,16 @@
 
 
 def test_replaced_server_at_the_same_name_is_new() -> None:
-    """Failures of an older incarnation do not count against the next."""
+    """Failures of an older incarnation don't count against a newer one."""
     router = make_router()
     choose(router, SERVERS, 0.0)
     fail(router, "s0", 0.0)
-    fresh = (server("s0", incarnation=2), *SERVERS[1:])
-    assert spread(router, fresh, 100)["s0"] >= 15
+    replaced = (server("s0", incarnation=2), *SERVERS[1:])
+    assert spread(router, replaced, 100)["s0"] >= 15
 
 
-def saturate(router: Router, level: int, now: float) -> None:
-    """Let each server's answer carry an admission level."""
+def report_level(router: Router, level: int, now: float) -> None:
+    """Record a response with this admission level from each server."""
     choose(router, SERVERS, now)
     for view in SERVERS:
         router.started(view.instance, now)
@@ -192,7 +192,7 @@
 def refused_share(
     router: Router, now: float, *, rank: int, depth: int = 0, calls: int = 400
 ) -> float:
-    """Return the share of calls that are refused early."""
+    """Return the share of calls that get an early refusal."""
     contexts = [
         make_context(priority_rank=rank, depth=depth, workspace=f"w{number}")
         for number in range(4)
@@ -205,9 +205,9 @@
 
 
 def test_early_refusal_by_priority() -> None:
-    """At a level of 1,300 rank 0 passes, three in ten of rank 1 and no rank 2."""
+    """A level of 1,300 passes rank 0 and 30% of rank 1, and sheds rank 2."""
     router = make_router()
-    saturate(router, 1300, 0.0)
+    report_level(router, 1300, 0.0)
     assert refused_share(router, 0.0, rank=0) == 0.0
     assert 0.6 <= refused_share(router, 0.0, rank=1) <= 0.8
     assert refused_share(router, 0.0, rank=2) == 1.0
@@ -215,12 +215,12 @@
 
 
 def test_early_refusal_is_fair_between_workspaces() -> None:
-    """A small workspace passes whole beside one that sends twenty times as much."""
+    """All calls of a small workspace pass next to one with twenty times the calls."""
     router = make_router()
     passed: Counter[str] = Counter()
     for number in range(2100):
         now = number * 0.001
-        saturate(router, 1300, now)
+        report_level(router, 1300, now)
         name = "small" if number % 21 == 0 else "large"
         context = make_context(priority_rank=1, workspace=name)
         passed[name] += router.early_refusal(SERVERS, context, now) is None
@@ -229,24 +229,24 @@
 
 
 def test_levels_age_out() -> None:
-    """A level that no answer renews is forgotten."""
+    """A level expires without new responses."""
     router = make_router()
-    saturate(router, 100, 0.0)
+    report_level(router, 100, 0.0)
     assert refused_share(router, 0.0, rank=2) == 1.0
     assert refused_share(router, 2.0, rank=2) == 0.0
 
 
 def test_next_rank_goes_on_trying() -> None:
-    """Where just one rank is shed wholly, a few of its calls still pass."""
+    """A few calls of the most important fully shed rank still pass."""
     router = make_router()
-    saturate(router, 2000, 0.0)
+    report_level(router, 2000, 0.0)
     assert 0.9 <= refused_share(router, 0.0, rank=2) < 1.0
 
 
 def test_early_refusal_is_true_and_says_when_to_return() -> None:
-    """It is surely not run, and its wait is spread."""
+    """An early refusal states that the call has not run, with a random retry delay."""
     router = make_router()
-    saturate(router, 0, 0.0)
+    report_level(router, 0, 0.0)
     waits = set()
     for _ in range(20):
         refusal = router.early_refusal(SERVERS, make_context(priority_rank=2), 0.0)
