--- a/damaskbay/core/dissemination/__init__.py
+++ b/damaskbay/core/dissemination/__init__.py
@@ -1,1 +1,1 @@
-"""Spreading of configuration sets, decided without any I/O."""
+"""Dissemination of configuration sets, without any I/O."""
--- a/damaskbay/core/dissemination/holder.py
+++ b/damaskbay/core/dissemination/holder.py
@@ -1,4 +1,4 @@
-"""The set in force: only ever replaced by a whole, checked, higher version."""
+"""The active configuration set, replaced only by a complete, valid, newer one."""
 
 from enum import Enum
 
@@ -7,25 +7,29 @@
 from damaskbay.config.exceptions import DeltaFailure, DeltaProblem
 from damaskbay.config.objects import ConfigSet
 from damaskbay.core.dissemination.messages import Parts, Push
-from damaskbay.core.dissemination.parts import digests_of, join_parts, missing_parts
+from damaskbay.core.dissemination.parts import (
+    join_parts,
+    missing_parts,
+    part_digests_of,
+)
 
 
 class Offer(Enum):
-    """What became of an offered set."""
+    """Result of offering a configuration set."""
 
     TAKEN = "taken"
     OLD = "old"
-    """The version is not above the one in force."""
+    """The version is not above the active one."""
 
     OTHER_BASE = "other_base"
-    """The delta is for another set; the whole set has to be pulled."""
+    """The delta applies to another set; the complete set must be pulled."""
 
     INVALID = "invalid"
-    """The set in force stays; `problem` says what is wrong."""
+    """The set is rejected and the active one stays; `problem` gives the reason."""
 
 
 class Holder:
-    """Holds one daemon's set. `previous` is the one before, for deltas."""
+    """Active configuration set of a daemon, and the previous one for deltas."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -35,7 +39,7 @@
         self._previous: Document | None = None
 
     def offer(self, version: int, document: Document) -> Offer:
-        """Take a whole set that was checked, if its version is higher."""
+        """Activate a complete set that is already checked, if its version is higher."""
         if version <= self.version:
             return Offer.OLD
         self._previous = self.document
@@ -46,7 +50,7 @@
         return Offer.TAKEN
 
     def offer_push(self, push: Push) -> Offer:
-        """Take a set as what changed to it."""
+        """Activate the set that results from a pushed delta."""
         if push.version <= self.version:
             return Offer.OLD
         if self.document is None:
@@ -56,33 +60,33 @@
             return self.offer(push.version, document)
         if document.problem is DeltaProblem.OTHER_BASE:
             return Offer.OTHER_BASE
-        return self._refuse(push.version, document.detail)
+        return self._reject(push.version, document.detail)
 
     def offer_parts(self, parts: Parts) -> Offer:
-        """Take a set as the parts that were asked for."""
+        """Activate the set that results from pulled parts."""
         if parts.version <= self.version:
             return Offer.OLD
         document = join_parts(self.document, parts)
         if isinstance(document, str):
-            return self._refuse(parts.version, document)
+            return self._reject(parts.version, document)
         return self.offer(parts.version, document)
 
     def delta(self) -> Delta | None:
-        """Return what changed to the set in force from the one before."""
+        """Return the delta from the previous to the active set, None without both."""
         if self.document is None or self._previous is None:
             return None
         return make_delta(self._previous, self.document)
 
     def part_digests(self) -> tuple[str, ...]:
-        """Return the digests of the parts at hand."""
-        return digests_of(self.document)
+        """Return the digests of the parts of the active set."""
+        return part_digests_of(self.document)
 
     def parts_for(self, known: tuple[str, ...]) -> Parts | None:
-        """Return the parts of the set in force that an asking daemon lacks."""
+        """Return the parts of the active set whose digests aren't in `known`."""
         if self.document is None:
             return None
         return missing_parts(self.document, self.version, known)
 
-    def _refuse(self, version: int, detail: str) -> Offer:
+    def _reject(self, version: int, detail: str) -> Offer:
         self.problem = f"version {version} refused: {detail}"
         return Offer.INVALID
--- a/damaskbay/core/dissemination/lease.py
+++ b/damaskbay/core/dissemination/lease.py
@@ -1,26 +1,26 @@
-"""A lease as its holder may trust it."""
+"""Local validity of a lease."""
 
 
 class HeldLease:
     """
-    Valid for `lease_s` from before it was asked for, less `margin_s`.
+    Lease that is valid for `lease_s` minus `margin_s` from its request.
 
-    The service counts from when the write arrived, so this end is never later.
-    Times in seconds of the monotonic clock.
+    The service counts from the arrival of the write, so the local end is never
+    later. Times are in seconds of the monotonic clock.
     """
 
     def __init__(self, *, lease_s: float, margin_s: float) -> None:
-        self._trusted_s = lease_s - margin_s
+        self._usable_s = lease_s - margin_s
         self._valid_until: float | None = None
 
     def granted(self, asked_at: float) -> None:
-        """Take note that a request begun at `asked_at` was granted."""
-        self._valid_until = asked_at + self._trusted_s
+        """Record that the request sent at `asked_at` was granted."""
+        self._valid_until = asked_at + self._usable_s
 
     def drop(self) -> None:
-        """Hold it no longer."""
+        """Release the lease locally."""
         self._valid_until = None
 
     def holds(self, now: float) -> bool:
-        """Tell whether nobody else can hold it now."""
+        """Return whether the lease is held, so that no other daemon can hold it."""
         return self._valid_until is not None and now < self._valid_until
--- a/damaskbay/core/dissemination/messages.py
+++ b/damaskbay/core/dissemination/messages.py
@@ -1,4 +1,4 @@
-"""Messages between daemons that spread sets."""
+"""Messages between daemons for the dissemination of configuration sets."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 @message("config.poll")
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """Ask for a `Status`; tells the version in force at the sender."""
+    """Request for a `Status`, with the active version of the sender."""
 
     version: int
 
@@ -18,11 +18,11 @@
 @dataclass(frozen=True, slots=True)
 class Status:
     """
-    What is in force at the answering daemon.
+    Active configuration version of the replying daemon.
 
-    Ages in seconds at the time of answering: of the newest proof that nothing
-    above `version` was accepted, and of the news that no failure domain reaches
-    the platform.
+    Ages are in seconds at the time of the reply: `proof_age_s` of the newest proof
+    that no version above `version` was accepted, `outage_age_s` of the report that
+    no failure domain reaches the platform.
     """
 
     version: int
@@ -34,7 +34,7 @@
 @message("config.push")
 @dataclass(frozen=True, slots=True)
 class Push:
-    """Hand on what changed to `version`, along the tree that starts at `root`."""
+    """Delta that leads to `version`, forwarded along the tree rooted at `root`."""
 
     root: str
     version: int
@@ -44,7 +44,7 @@
 @message("config.pull")
 @dataclass(frozen=True, slots=True)
 class Pull:
-    """Ask for all `Parts` that differ from those with these digests."""
+    """Request for the `Parts` whose digests differ from these."""
 
     part_digests: tuple[str, ...]
 
@@ -53,9 +53,10 @@
 @dataclass(frozen=True, slots=True)
 class Parts:
     """
-    The parts, compressed, that the asking daemon lacks of one whole set.
+    Compressed parts of a set that the requesting daemon lacks.
 
-    `numbers` names them by their place; `digest` is that of the whole set.
+    `numbers` gives their positions in the set; `digest` is that of the complete
+    set.
     """
 
     version: int
--- a/damaskbay/core/dissemination/options.py
+++ b/damaskbay/core/dissemination/options.py
@@ -1,4 +1,4 @@
-"""Times and sizes of the dissemination of sets."""
+"""Options of the dissemination of configuration sets."""
 
 from dataclasses import dataclass
 
@@ -6,16 +6,17 @@
 @dataclass(frozen=True, slots=True)
 class DisseminationOptions:
     """
-    Times in seconds.
+    Options of dissemination, times in seconds.
 
-    `relays` daemons of a failure domain watch the platform, each with a lease of
-    `lease_s` that it trusts for `lease_margin_s` less; the first `backups` daemons,
-    relays included, stand in for them towards other failure domains. New sets are
-    pushed through a tree of `push_fanout`; every `poll_period_s` a daemon polls its
-    parent in a tree of `poll_fanout`. A poll that failed counts as lost after
-    `poll_timeout_s`.
-    Without a proof for `outage_after_s` they ask the other failure domains,
-    whose answers count for `reach_valid_s`.
+    In each failure domain, `relays` daemons watch the platform. Each holds a lease
+    of `lease_s` and treats it as expired `lease_margin_s` early. The first `backups`
+    daemons, including the relays, can replace the relays towards remote failure
+    domains. New sets are pushed through a tree with a fanout of `push_fanout`.
+    Every `poll_period_s` a daemon polls its parent in a tree with a fanout of
+    `poll_fanout`. A poll without a reply fails after `poll_timeout_s`.
+
+    Without a proof for `outage_after_s`, the `backups` daemons poll the remote
+    failure domains, whose replies are valid for `reach_valid_s`.
     """
 
     relays: int = 2
--- a/damaskbay/core/dissemination/parts.py
+++ b/damaskbay/core/dissemination/parts.py
@@ -1,4 +1,4 @@
-"""A whole set as parts, of which only those that differ are sent."""
+"""Split of a configuration set into parts; only parts that differ are sent."""
 
 import json
 import zlib
@@ -14,17 +14,17 @@
 _COMPRESSION_LEVEL = 1
 
 
-def digests_of(document: Document | None) -> tuple[str, ...]:
-    """Return the digests of a set's parts; none without a set."""
+def part_digests_of(document: Document | None) -> tuple[str, ...]:
+    """Return the digests of a set's parts, empty without a set."""
     return () if document is None else tuple(part.digest for part in document.parts)
 
 
 def missing_parts(document: Document, version: int, known: Sequence[str]) -> Parts:
-    """Return the parts of a set that are not among the known digests."""
-    pairs = enumerate(document.parts)
+    """Return the parts of a set whose digest differs from the known one."""
+    numbered_parts = enumerate(document.parts)
     numbers = tuple(
         number
-        for number, part in pairs
+        for number, part in numbered_parts
         if number >= len(known) or known[number] != part.digest
     )
     bodies = tuple(
@@ -34,19 +34,19 @@
     return Parts(version, document.digest, numbers, bodies)
 
 
-def join_parts(held: Document | None, parts: Parts) -> Document | str:
+def join_parts(current: Document | None, parts: Parts) -> Document | str:
     """
-    Return the checked set that the parts complete, or what is wrong.
+    Return the checked set that results from the parts, or an error text.
 
-    The digest of the result is compared with the promised one.
+    The digest of the result must equal the announced one.
     """
     bodies: list[bytes | None] = [None] * PART_COUNT
-    if held is not None:
-        bodies = [part.body for part in held.parts]
-    wrong = _fill(bodies, parts)
-    if wrong is not None:
-        return wrong
-    document = _document_of(bodies)
+    if current is not None:
+        bodies = [part.body for part in current.parts]
+    error = _insert_parts(bodies, parts)
+    if error is not None:
+        return error
+    document = _parse_document(bodies)
     if isinstance(document, str):
         return document
     if document.digest != parts.digest:
@@ -54,31 +54,31 @@
     return document
 
 
-def _fill(bodies: list[bytes | None], parts: Parts) -> str | None:
-    """Put received parts in place; return what is wrong, None where nothing."""
+def _insert_parts(bodies: list[bytes | None], parts: Parts) -> str | None:
+    """Insert received parts into `bodies`; return an error text, None on success."""
     if len(parts.numbers) != len(parts.bodies):
-        return "numbers and bodies differ in count"
-    left_bytes = MAX_DOCUMENT_BYTES
-    for number, packed in zip(parts.numbers, parts.bodies, strict=True):
-        body = _unpack(packed, left_bytes)
+        return "part numbers and part bodies differ in count"
+    remaining_bytes = MAX_DOCUMENT_BYTES
+    for number, compressed in zip(parts.numbers, parts.bodies, strict=True):
+        body = _decompress(compressed, remaining_bytes)
         if body is None or not 0 <= number < PART_COUNT:
             return f"part {number} is malformed"
-        left_bytes -= len(body)
+        remaining_bytes -= len(body)
         bodies[number] = body
     return None
 
 
-def _unpack(packed: bytes, max_bytes: int) -> bytes | None:
+def _decompress(compressed: bytes, max_bytes: int) -> bytes | None:
     stream = zlib.decompressobj()
     try:
-        body = stream.decompress(packed, max(1, max_bytes))
+        body = stream.decompress(compressed, max(1, max_bytes))
     except zlib.error:
         return None
     return body if stream.eof else None
 
 
-def _document_of(bodies: Sequence[bytes | None]) -> Document | str:
-    plain: dict[str, Any] = {"format": DOCUMENT_FORMAT}
+def _parse_document(bodies: Sequence[bytes | None]) -> Document | str:
+    fields: dict[str, Any] = {"format": DOCUMENT_FORMAT}
     by_kind: dict[str, dict[str, Any]] = {kind.value: {} for kind in Kind}
     for number, body in enumerate(bodies):
         if body is None:
@@ -88,5 +88,5 @@
                 by_kind[kind].update(objects)
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError):
             return f"part {number} is malformed"
-    document = read_checked({**plain, **by_kind})
+    document = read_checked({**fields, **by_kind})
     return document if isinstance(document, Document) else str(document[0])
--- a/tests/core/dissemination/test_dissemination.py
+++ b/tests/core/dissemination/test_dissemination.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions about who relays, what is taken and what is fresh."""
+"""Tests of relay election, activation of sets and freshness proofs."""
 
 import unittest
 from dataclasses import replace
@@ -40,7 +40,7 @@
 @settings(derandomize=True, max_examples=30)
 @given(st.integers(1, 90), st.integers(1, 5), st.randoms(use_true_random=False))
 def test_tree_reaches_each_member_once(count: int, fanout: int, rng: object) -> None:
-    """From any root each other member has one parent, whose child it is."""
+    """From any root, each other member is the child of exactly one parent."""
     orders = _orders(count)
     root = f"i{count // 2}"
     reached = [
@@ -57,7 +57,7 @@
 
 
 def test_all_agree_on_the_leaders() -> None:
-    """The leaders follow from the members alone; one that goes is replaced."""
+    """Leaders depend on the members alone; a removed leader is replaced."""
     orders = _orders(20)
     leaders = {tuple(item.instance for item in o.leaders) for o in orders.values()}
     assert len(leaders) == 1
@@ -69,7 +69,7 @@
 
 
 def test_lease_counts_from_the_request() -> None:
-    """A holder trusts a lease from before it asked, less the margin."""
+    """A lease is valid from the time of its request, minus the margin."""
     lease = HeldLease(lease_s=10, margin_s=1)
     assert not lease.holds(0)
     lease.granted(asked_at=5)
@@ -88,7 +88,7 @@
 
 
 def test_version_never_goes_back() -> None:
-    """Whatever way an older version comes, it is not taken."""
+    """An older version is not activated by any of the three ways to offer it."""
     holder = _holder(5)
     older = _changed(7)
     push = Push("i1", 4, make_delta(document(), older))
@@ -100,7 +100,7 @@
 
 
 def test_push_of_what_changed() -> None:
-    """A delta for the set at hand is taken, one for another set needs a pull."""
+    """A delta for the active set is activated; one for another set needs a pull."""
     holder = _holder()
     delta = make_delta(document(), _changed(7))
     assert holder.offer_push(Push("i1", 2, delta)) is Offer.TAKEN
@@ -111,7 +111,7 @@
 
 
 def test_digest_is_verified() -> None:
-    """What does not lead to the promised digest is refused and reported."""
+    """A set with another digest than announced is rejected and reported."""
     holder = _holder()
     delta = make_delta(document(), _changed(7))
     wrong = replace(delta, digest="0" * 64)
@@ -123,26 +123,30 @@
 
 
 def test_set_is_checked_again() -> None:
-    """A set with a dangling reference is refused though its digest is right."""
+    """A set with a dangling reference is rejected although its digest is right."""
     holder = _holder()
     dangling = parse_document(sample(**{"keys__north-1__workspace": "nobody"}))
     assert isinstance(dangling, Document)
-    whole = missing_parts(dangling, 2, ())
-    assert holder.offer_parts(whole) is Offer.INVALID
+    complete_parts = missing_parts(dangling, 2, ())
+    assert holder.offer_parts(complete_parts) is Offer.INVALID
     push = Push("i1", 2, make_delta(document(), dangling))
     assert holder.offer_push(push) is Offer.INVALID
     assert holder.version == 1
 
 
 def test_half_a_set_is_refused() -> None:
-    """A fresh daemon takes a set only whole."""
-    whole = missing_parts(document(), 2, ())
-    half = replace(whole, numbers=whole.numbers[:-1], bodies=whole.bodies[:-1])
-    assert Holder().offer_parts(half) is Offer.INVALID
+    """A daemon without a set rejects an incomplete one."""
+    complete_parts = missing_parts(document(), 2, ())
+    incomplete_parts = replace(
+        complete_parts,
+        numbers=complete_parts.numbers[:-1],
+        bodies=complete_parts.bodies[:-1],
+    )
+    assert Holder().offer_parts(incomplete_parts) is Offer.INVALID
 
 
 def test_only_missing_parts_are_sent() -> None:
-    """One changed object costs one part."""
+    """One changed object leads to one sent part."""
     holder = _holder()
     parts = missing_parts(_changed(7), 2, holder.part_digests())
     assert len(parts.numbers) == 1
@@ -152,7 +156,7 @@
 @settings(derandomize=True, max_examples=50)
 @given(st.lists(st.tuples(st.integers(-5, 70), st.binary(max_size=20)), max_size=4))
 def test_hostile_parts_are_refused(items: list[tuple[int, bytes]]) -> None:
-    """Any parts are a value and leave the set in force."""
+    """Arbitrary parts cause no exception and leave the active set."""
     holder = _holder()
     numbers = tuple(number for number, _ in items)
     bodies = tuple(body for _, body in items)
@@ -161,7 +165,7 @@
 
 
 def test_proof_of_an_older_set_counts_only_with_it() -> None:
-    """A proof for a set above the one in force proves nothing here."""
+    """A proof for a version above the active one is not recorded."""
     freshness = Freshness()
     assert not freshness.prove(Proof(3, 50.0), held_version=2)
     assert freshness.proof_age_s(60) is None
@@ -171,7 +175,7 @@
 
 
 def test_outage_ends_with_a_newer_proof() -> None:
-    """News of an outage hold for a time and until the platform is reached."""
+    """An outage report expires after a time or with a newer proof."""
     freshness = Freshness()
     freshness.note_outage(10)
     assert freshness.outage_age_s(12, valid_s=5) == 2
@@ -181,7 +185,7 @@
 
 
 def test_silent_domain_is_no_outage_for_all() -> None:
-    """Only where every known domain says so, nobody reaches the platform."""
+    """An outage for all requires a recent report from every known domain."""
     board = ReachBoard(outage_after_s=1.5, valid_s=3)
     for_all = partial(board.outage_for_all, proven_at=5)
     assert for_all([], 10)
