--- a/damaskbay/core/admission/controller.py
+++ b/damaskbay/core/admission/controller.py
@@ -203,6 +203,7 @@
         return self._process_queue(now)
 
     def _process_queue(self, now: float) -> tuple[Decision, ...]:
+        """Start queued calls in free slots, then refuse those beyond the length."""
         decisions: list[Decision] = []
         while self._queue and self._has_free_slot():
             decisions.append(self._decide_next_queued(now))
@@ -247,7 +248,7 @@
         return None
 
     def _overloaded_refusal(self, entry: QueueEntry, now: float) -> Refusal | None:
-        """Refuse a call that waited too long unless a less important one is queued."""
+        """Return a refusal after a long wait unless a less important call is queued."""
         if now < entry.wait_until or entry.rank < self._queue.least_important_rank():
             return None
         return self._capacity_refusal(Reason.OVERLOADED)
@@ -289,6 +290,7 @@
         return Refuse(entry.item.ticket, refusal)
 
     def _count_refusal(self, now: float) -> None:
+        """Add one to the count of recent refusals, which halves every second."""
         elapsed_s = now - self._last_refusal_at
         self._last_refusal_at = now
         self._recent_refusals *= 0.5**elapsed_s
--- a/damaskbay/core/admission/limit.py
+++ b/damaskbay/core/admission/limit.py
@@ -178,6 +178,7 @@
         super().__init__(slots, now)
         self._baseline_latency_s = 0.0
         self._baseline_concurrency = 1.0
+        # Increases are proportional to the distance from the limit to this target.
         self._fast_increase_target = float(slots)
         self._limit_before_decrease = 0.0
         self._latency_before_decrease_s = 0.0
@@ -219,7 +220,7 @@
         )
 
     def _decrease_helped(self, median_s: float) -> bool:
-        """Return whether the last decrease, if any, lowered the latency."""
+        """Return whether the last decrease had at least half of its expected effect."""
         if not self._limit_before_decrease:
             return True
         expected_ratio = self._limit / self._limit_before_decrease
--- a/damaskbay/core/routing/health.py
+++ b/damaskbay/core/routing/health.py
@@ -226,6 +226,7 @@
             self._restore(now)
 
     def _restore(self, now: float) -> None:
+        """End the ejection; the server starts slowly, as after a restart."""
         self._ejected_until = None
         self._ejections = max(0, self._ejections - 1)
         self._calls = 0
--- a/damaskbay/core/routing/router.py
+++ b/damaskbay/core/routing/router.py
@@ -161,7 +161,7 @@
         ]
 
     def _sample(self, servers: list[ServerView]) -> list[ServerView]:
-        """Return a new random sample of a large pool, or all of a small one."""
+        """Return all of a small pool, else a random sample plus the local server."""
         if len(servers) <= 2 * SAMPLE_SIZE:
             return servers
         local_domain = self._options.failure_domain
--- a/tests/core/dissemination/test_dissemination.py
+++ b/tests/core/dissemination/test_dissemination.py
@@ -40,7 +40,7 @@
 @settings(derandomize=True, max_examples=30)
 @given(st.integers(1, 90), st.integers(1, 5), st.randoms(use_true_random=False))
 def test_tree_reaches_each_member_once(count: int, fanout: int, rng: object) -> None:
-    """From any root, each other member is the child of exactly one parent."""
+    """From any root, each other member is the child of one member, its parent."""
     orders = _orders(count)
     root = f"i{count // 2}"
     reached = [
