--- a/damaskbay/core/__init__.py
+++ b/damaskbay/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions only: no sockets, threads, clocks or logging."""
+"""Decision logic without sockets, threads, clocks or logging."""
--- a/damaskbay/core/at_most_once_ids.py
+++ b/damaskbay/core/at_most_once_ids.py
@@ -15,20 +15,20 @@
 
 MAX_REQUEST_ID_CHARACTERS: Final = 512
 
-_LABEL: Final = b"damaskbay request id 1"
+_MAC_LABEL: Final = b"damaskbay request id 1"
 _MAC_BYTES: Final = 16
-_NUMBERS: Final = struct.Struct(">QQQQ")
+_PACKED_NUMBERS: Final = struct.Struct(">QQQQ")
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerRef:
     """
-    What a request id says, once its signature is proven.
+    Content of a request id with a verified signature.
 
-    `instance`, `incarnation` and the random `process` name the one process that
-    may run the request, `address` is where it listens for peers. `sequence`
-    counts the ids of that process, `issued_ms` is in milliseconds of its
-    monotonic clock.
+    `instance`, `incarnation` and the random number `process` identify the one
+    process that may run the request; `address` is where it listens for peers.
+    `sequence` numbers the ids of that process, `issued_ms` is in milliseconds of
+    its monotonic clock.
     """
 
     instance: str
@@ -40,8 +40,10 @@
 
 
 def sign_request_id(secret: bytes, ref: OwnerRef) -> str:
-    """Return the text of a request id."""
-    numbers = _NUMBERS.pack(ref.incarnation, ref.process, ref.sequence, ref.issued_ms)
+    """Return the signed request id as URL-safe text."""
+    numbers = _PACKED_NUMBERS.pack(
+        ref.incarnation, ref.process, ref.sequence, ref.issued_ms
+    )
     names = f"{ref.instance} {ref.address.host} {ref.address.port}"
     content = numbers + names.encode()
     text = base64.urlsafe_b64encode(_mac(secret, content) + content)
@@ -50,10 +52,10 @@
 
 def parse_request_id(secrets: Sequence[bytes], text: str) -> OwnerRef | Refusal:
     """
-    Return the reference in a request id.
+    Verify a request id and return its content.
 
-    Any of the secrets may have signed it. A text that nobody issued is refused
-    as `not_run`: no daemon ever runs it.
+    The signature must match one of the secrets. A text that no daemon issued is
+    refused as `not_run`, since no daemon ever runs it.
     """
     data = _decode(text)
     mac, content = data[:_MAC_BYTES], data[_MAC_BYTES:]
@@ -62,14 +64,14 @@
         return not_run(
             Reason.REQUEST_ID_NOT_ISSUED, detail="the request id was never issued"
         )
-    incarnation, process, sequence, issued_ms = _NUMBERS.unpack_from(content)
-    instance, host, port = content[_NUMBERS.size :].decode().split(" ")
+    incarnation, process, sequence, issued_ms = _PACKED_NUMBERS.unpack_from(content)
+    instance, host, port = content[_PACKED_NUMBERS.size :].decode().split(" ")
     address = PeerAddress(host, int(port))
     return OwnerRef(instance, incarnation, process, sequence, issued_ms, address)
 
 
 def fingerprint_of(workspace: str, request: Request) -> bytes:
-    """Return the digest that tells a repeat from another request."""
+    """Return a digest by which a retry is told from a different request."""
     digest = hashlib.sha256()
     parts = (workspace, request.method, request.host, request.target)
     for part in (*(item.encode() for item in parts), request.body):
@@ -79,7 +81,7 @@
 
 
 def _decode(text: str) -> bytes:
-    """Return the bytes of the text, none where it is no base64."""
+    """Decode URL-safe base64; return empty bytes for invalid or too long text."""
     if len(text) > MAX_REQUEST_ID_CHARACTERS:
         return b""
     padding = "=" * (-len(text) % 4)
@@ -90,4 +92,4 @@
 
 
 def _mac(secret: bytes, content: bytes) -> bytes:
-    return hmac.digest(secret, _LABEL + content, "sha256")[:_MAC_BYTES]
+    return hmac.digest(secret, _MAC_LABEL + content, "sha256")[:_MAC_BYTES]
--- a/damaskbay/core/call.py
+++ b/damaskbay/core/call.py
@@ -1,4 +1,4 @@
-"""A call as it travels: request, answer and the context of its call tree."""
+"""Data classes of a call: request, response, result and call tree context."""
 
 from dataclasses import dataclass
 
@@ -10,10 +10,11 @@
 @dataclass(frozen=True, slots=True)
 class Request:
     """
-    One HTTP request, whole.
+    One complete HTTP request.
 
-    `target` is path and query as sent. `headers` keep their order and repeats,
-    without hop-by-hop headers and without anything that could carry a key.
+    `target` is the path and query as sent. `headers` keep their order and
+    duplicates, but contain no hop-by-hop headers and nothing that could carry a
+    key.
     """
 
     method: str
@@ -25,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One HTTP answer, whole. A body that was cut short never becomes an Answer."""
+    """One complete HTTP response; a truncated body never becomes an Answer."""
 
     status: int
     headers: Headers = ()
@@ -35,14 +36,14 @@
 @dataclass(frozen=True, slots=True)
 class CallContext:
     """
-    What a call inherits from the root of its call tree.
-
-    `deadline` is in seconds of the local monotonic clock; on the wire only the
-    remaining time travels. `priority_rank` 0 is the most important. `depth` is
-    0 for the root. `retry_tokens` were moved to this call and are spent here or
-    handed back, never copied. `objective_s` is the latency objective.
-    `resent` marks a send after the first, `under_resent` a call that the run of a
-    resent one made: both are repeats to the server that gets them.
+    Context that a call inherits from the root of its call tree.
+
+    `deadline` is in seconds of the local monotonic clock; only the remaining time
+    is sent to other processes. `priority_rank` 0 is the most important. `depth` is
+    0 for the root. `retry_tokens` were moved to this call and are either spent by
+    it or returned, never copied. `objective_s` is the latency objective in seconds.
+    `resent` marks a retry, `under_resent` a call nested below a retry: for the
+    server that receives it, either is a retry.
     """
 
     call_id: str
@@ -65,13 +66,13 @@
 @dataclass(frozen=True, slots=True)
 class CallResult:
     """
-    How one call ended, with what flows back to the caller's side.
+    Result of one call, with the feedback for the calling side.
 
     `admission_level` is the target's current level (see core.admission);
-    `backend_s` is what the backend server took, in seconds;
-    `attempts` counts sends in the whole subtree; `retry_tokens_left` are handed
-    back to the parent. `load` is what runs and waits at the target per slot.
-    `nested_failed` tells that the server failed after a nested call had failed.
+    `backend_s` is the processing time of the backend server in seconds; `attempts`
+    counts the sends in the whole subtree; `retry_tokens_left` are returned to the
+    parent. `load` is the number of running and waiting calls at the target per
+    slot. `nested_failed` means that the server failed after a nested call failed.
     """
 
     result: Answer | Refusal
--- a/damaskbay/core/edge.py
+++ b/damaskbay/core/edge.py
@@ -1,4 +1,4 @@
-"""How much of the caller-facing threads each priority may hold."""
+"""Limits on the caller-facing threads that calls of each priority may occupy."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -13,21 +13,21 @@
 @dataclass(frozen=True, slots=True)
 class EdgeRoom:
     """
-    Room of the caller-facing side, in calls at once.
+    Concurrency limit of the caller-facing listener, by priority rank.
 
-    The most important priority may fill it all; each lower rank stops earlier, so
-    that waiting calls of low priority can't keep important ones out.
+    The most important priority may use all threads. Each lower rank has a lower
+    limit, so that waiting calls of low priority cannot block important ones.
     """
 
     threads: int
 
     def limit_for(self, rank: int) -> int:
-        """Return how many calls may be inside for one of this rank to enter."""
+        """Return the number of calls in flight at which this rank is refused."""
         share = max(LOWEST_SHARE, 1.0 - RANK_STEP_SHARE * rank)
         return max(1, int(self.threads * share))
 
     def refuse(self, inside: int, rank: int) -> Refusal | None:
-        """Refuse a call of this rank when `inside` calls fill its room."""
+        """Refuse a call of this rank if `inside` calls in flight reach its limit."""
         if inside < self.limit_for(rank):
             return None
         return not_run(
--- a/damaskbay/core/explain.py
+++ b/damaskbay/core/explain.py
@@ -1,4 +1,4 @@
-"""A bounded record of decisions, from which a call can be explained afterwards."""
+"""Bounded log of decisions, used to explain a call afterwards."""
 
 from collections import OrderedDict, deque
 from dataclasses import dataclass
@@ -13,10 +13,10 @@
 @dataclass(frozen=True, slots=True)
 class Decision:
     """
-    What was decided on one call, and by which figures.
+    One decision on a call, with the figures that it is based on.
 
-    `at` is in seconds since 1970. `rule` names the object of the set that
-    decided, `set_version` the set it belongs to.
+    `at` is in seconds since 1970. `rule` is the name of the configuration object
+    that decided, `set_version` the version of its configuration set.
     """
 
     at: float
@@ -34,8 +34,8 @@
     """
     The newest decisions, by call id and by workspace.
 
-    Holds at most `max_decisions`, and for each of the `MAX_WORKSPACES` last seen
-    workspaces the newest `MAX_PER_WORKSPACE`. Not safe for threads.
+    Holds at most `max_decisions` by call id, and the newest `MAX_PER_WORKSPACE` for
+    each of the `MAX_WORKSPACES` most recent workspaces. Not thread-safe.
     """
 
     def __init__(self, max_decisions: int = MAX_DECISIONS) -> None:
@@ -48,33 +48,33 @@
         return self._count
 
     def record(self, decision: Decision) -> None:
-        """Keep a decision; the oldest call is forgotten where there is no room."""
+        """Record a decision; drop the oldest calls when the log is full."""
         self._by_call.setdefault(decision.call_id, []).append(decision)
         self._count += 1
         while self._count > self._max_decisions and self._by_call:
-            _, forgotten = self._by_call.popitem(last=False)
-            self._count -= len(forgotten)
-        self._keep_for_workspace(decision)
+            _, dropped = self._by_call.popitem(last=False)
+            self._count -= len(dropped)
+        self._record_for_workspace(decision)
 
     def by_call(self, call_id: str) -> tuple[Decision, ...]:
-        """Return what is remembered of a call, oldest first."""
+        """Return the recorded decisions on a call, oldest first."""
         return tuple(self._by_call.get(call_id, ()))
 
     def by_workspace(self, workspace: str) -> tuple[Decision, ...]:
-        """Return the newest decisions on a workspace, oldest first."""
+        """Return the newest recorded decisions on a workspace, oldest first."""
         return tuple(self._by_workspace.get(workspace, ()))
 
-    def _keep_for_workspace(self, decision: Decision) -> None:
-        kept = self._by_workspace.get(decision.workspace)
-        if kept is None:
-            kept = deque(maxlen=MAX_PER_WORKSPACE)
-            self._by_workspace[decision.workspace] = kept
+    def _record_for_workspace(self, decision: Decision) -> None:
+        decisions = self._by_workspace.get(decision.workspace)
+        if decisions is None:
+            decisions = deque(maxlen=MAX_PER_WORKSPACE)
+            self._by_workspace[decision.workspace] = decisions
         self._by_workspace.move_to_end(decision.workspace)
-        kept.append(decision)
+        decisions.append(decision)
         if len(self._by_workspace) > MAX_WORKSPACES:
             self._by_workspace.popitem(last=False)
 
 
 def shorten(text: str) -> str:
-    """Return the text, cut to what the record keeps."""
+    """Return the text, truncated to `MAX_TEXT_CHARACTERS`."""
     return text[:MAX_TEXT_CHARACTERS]
--- a/damaskbay/core/freshness.py
+++ b/damaskbay/core/freshness.py
@@ -1,4 +1,4 @@
-"""Whether a route may be served by a set that can't be proven the newest."""
+"""Check whether a route may be served while the configuration is unproven."""
 
 from damaskbay.config.objects import Route, WhenUnproven
 from damaskbay.core.outcome import Reason, Refusal, not_run
@@ -9,11 +9,11 @@
 
 def may_serve(route: Route, state: ConfigState, now: float) -> Refusal | None:
     """
-    Refuse where the set is too old to prove and the route says so.
+    Refuse a call if the last proof is too old for the route; otherwise return None.
 
-    While no failure domain reaches the platform nobody can publish, so an old
-    set is still the newest: that outage refuses nothing. `now` is in seconds of
-    the monotonic clock of `state.proven_at`.
+    While no failure domain reaches the platform, no newer configuration set can be
+    published, so the active one is still the newest and nothing is refused. `now`
+    is in seconds of the monotonic clock that `state.proven_at` uses.
     """
     if route.when_unproven is WhenUnproven.SERVE or state.outage_for_all:
         return None
--- a/damaskbay/core/http_status.py
+++ b/damaskbay/core/http_status.py
@@ -1,4 +1,4 @@
-"""HTTP statuses of refusals."""
+"""HTTP status codes of refusals."""
 
 from collections.abc import Mapping
 from http import HTTPStatus
@@ -7,7 +7,7 @@
 from damaskbay.core.outcome import Reason, Refusal
 
 FIRST_SERVER_ERROR: Final = 500
-"""Statuses from here on say that the server failed."""
+"""Lowest status code that reports a failure of the server."""
 
 _STATUS_BY_REASON: Final[Mapping[Reason, HTTPStatus]] = {
     Reason.BAD_REQUEST: HTTPStatus.BAD_REQUEST,
@@ -44,5 +44,5 @@
 
 
 def status_of(refusal: Refusal) -> int:
-    """Return the HTTP status that carries a refusal to its caller."""
+    """Return the HTTP status code of the response to a refused call."""
     return int(_STATUS_BY_REASON[refusal.reason])
--- a/damaskbay/core/identify.py
+++ b/damaskbay/core/identify.py
@@ -1,4 +1,4 @@
-"""Who calls, which route, on which terms: the context of a root call."""
+"""Authentication of root calls by key, and the context of a root call."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -10,19 +10,20 @@
 
 
 class RouteMatcher(Protocol):
-    """Finds the route of a request."""
+    """Interface that finds the route of a request."""
 
     def match(self, host: str, method: str, path: str) -> Route | None:
-        """Return the route, or None where none matches."""
+        """Return the matching route, or None."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Credentials:
     """
-    What came with a root call. `deadline_s` is the caller's wish in seconds.
+    Key and options that the caller sent with a root call.
 
-    `idempotent` is the caller's own mark, None where it made none.
+    `deadline_s` is the requested time limit in seconds. `idempotent` is the caller's
+    declaration, None if the caller sent none.
     """
 
     key: str | None = None
@@ -41,7 +42,7 @@
     wall_now: float,
 ) -> CallContext | Refusal:
     """
-    Return the context of a root call or the reason why it may not run.
+    Return the context of a root call, or a refusal if it may not run.
 
     `now` is in seconds of the monotonic clock, `wall_now` in seconds since 1970.
     """
@@ -71,7 +72,7 @@
 def find_key(
     config: ConfigSet, secret: str | None, *, wall_now: float
 ) -> Key | Refusal:
-    """Return the key object that a secret belongs to."""
+    """Return the key with this secret, or a refusal if it is missing or invalid."""
     if not secret:
         return not_run(Reason.KEY_MISSING)
     key = config.keys_by_digest.get(digest_of(secret))
@@ -83,7 +84,7 @@
 
 
 def still_allowed(config: ConfigSet, context: CallContext) -> Refusal | None:
-    """Refuse a waiting call whose key, workspace or route has been withdrawn."""
+    """Refuse a waiting call if its key, workspace or route has been withdrawn."""
     if context.route not in config.routes_by_name:
         return not_run(Reason.NO_ROUTE, detail="the route was withdrawn")
     digest = context.key_digest
--- a/damaskbay/core/outcome.py
+++ b/damaskbay/core/outcome.py
@@ -1,21 +1,21 @@
-"""Refusals as sentinel values: a reason, and whether the request can have run."""
+"""Refusals as return values: the reason, and whether the request may have run."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class Outcome(Enum):
-    """What a refusal promises about the request it refuses."""
+    """Whether a refused request may have run."""
 
     NOT_RUN = "not_run"
     """No byte of the request can have reached a backend server's handler."""
 
     UNKNOWN = "unknown"
-    """The request may have run, wholly or in part."""
+    """The request may have run, completely or in part."""
 
 
 class Reason(Enum):
-    """Why a request was refused. Values are stable: callers may match on them."""
+    """Reason of a refusal; the values are stable because callers may match on them."""
 
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -52,10 +52,10 @@
 @dataclass(frozen=True, slots=True)
 class Refusal:
     """
-    A request that gets no answer from a backend server.
+    Result of a call that has no response from a backend server.
 
-    `retry_after_s` is in seconds, None where waiting does not help. `detail` is
-    for people and never holds a key or a body.
+    `retry_after_s` is in seconds, None if waiting does not help. `detail` is a
+    message for humans and never contains a key or a request body.
     """
 
     reason: Reason
@@ -65,14 +65,14 @@
 
     @property
     def not_run(self) -> bool:
-        """Tell whether the request surely did not run."""
+        """Return whether the request certainly did not run."""
         return self.outcome is Outcome.NOT_RUN
 
 
 def not_run(
     reason: Reason, *, retry_after_s: float | None = None, detail: str = ""
 ) -> Refusal:
-    """Return a refusal of a request that surely did not run."""
+    """Return a refusal of a request that certainly did not run."""
     return Refusal(reason, Outcome.NOT_RUN, retry_after_s, detail)
 
 
--- a/damaskbay/core/pressure.py
+++ b/damaskbay/core/pressure.py
@@ -1,4 +1,4 @@
-"""Which new requests to refuse at the edge while something behind them is short."""
+"""Refusal of new requests at the edge while a server on their path is overloaded."""
 
 from dataclasses import dataclass
 from random import Random
@@ -14,17 +14,16 @@
 from damaskbay.core.routing.demand import DemandMeter, wait_by_share_s
 
 RETRY_AFTER_S = 0.4
-"""Middle of the time to come back where nearly all pass, seconds."""
+"""Mean retry delay while nearly all requests pass, in seconds."""
 
-RETRY_AFTER_MOST_S = 2.0
-"""Longest middle of that time, seconds: about as long as callers wait at all."""
+MAX_RETRY_AFTER_S = 2.0
+"""Upper limit of the mean retry delay, in seconds; callers hardly wait longer."""
 
 HIGHEST_LEVEL = 16 * LEVEL_STEPS_PER_RANK
-"""Level of a path without any shortage; averages need an end of the scale."""
-
+"""Level of a path without overload; averaging needs an upper end of the scale."""
 
 LEVEL_GAIN = 0.3
-"""Weight of the newest level in the average over the servers that calls meet."""
+"""Weight of the newest level in the moving average over servers."""
 
 
 @dataclass(slots=True)
@@ -35,17 +34,18 @@
 
 class PathLevels:
     """
-    The recent admission level of each route, over all servers that its calls meet.
+    Recent admission level of each route, over all servers that its calls reach.
 
-    Levels of several servers are averaged, since a call may go to any of them; an
-    old one fades towards open. Times in seconds of one monotonic clock.
+    Levels of several servers are averaged, since a call may go to any of them. An
+    old level rises linearly to `HIGHEST_LEVEL`, where nothing is refused. Times are
+    in seconds of one monotonic clock.
     """
 
     def __init__(self) -> None:
         self._levels: dict[str, _Level] = {}
 
     def heard(self, route: str, level: int | None, now: float) -> None:
-        """Take the level that an answer on a route carried."""
+        """Record the admission level that a response on a route reported."""
         if level is None:
             return
         value = float(min(level, HIGHEST_LEVEL))
@@ -55,24 +55,24 @@
         self._levels[route] = _Level(value, now)
 
     def level(self, route: str, now: float) -> int:
-        """Return the level of a route."""
+        """Return the current level of a route."""
         known = self._levels.get(route)
         if known is None or now - known.at >= LEVEL_GONE_S:
             return HIGHEST_LEVEL
         age_s = now - known.at
         if age_s <= LEVEL_FRESH_S:
             return int(known.value)
-        faded = (age_s - LEVEL_FRESH_S) / (LEVEL_GONE_S - LEVEL_FRESH_S)
-        return int(known.value + (HIGHEST_LEVEL - known.value) * faded)
+        decay = (age_s - LEVEL_FRESH_S) / (LEVEL_GONE_S - LEVEL_FRESH_S)
+        return int(known.value + (HIGHEST_LEVEL - known.value) * decay)
 
 
 class EdgePressure:
     """
-    Refuses root requests by the levels that answers on their route carried.
+    Load shedding of root requests by the admission level of their route.
 
-    A level is the lowest of all servers that the calls of a request met. Within a
-    rank, workspaces get fair shares of what passes. Not safe for threads; times
-    in seconds of one monotonic clock.
+    Each response reports the lowest level of all servers that the request's calls
+    reached. Within a priority rank, the admitted requests are shared fairly between
+    workspaces. Not thread-safe; times are in seconds of one monotonic clock.
     """
 
     def __init__(self, rng: Random) -> None:
@@ -81,24 +81,26 @@
         self._demand = DemandMeter()
 
     def heard(self, route: str, level: int | None, now: float) -> None:
-        """Take the level that an answer on a route carried."""
+        """Record the admission level that a response on a route reported."""
         self._levels.heard(route, level, now)
 
     def refusal(
         self, route: str, rank: int, workspace: str, weight: float, now: float
     ) -> Refusal | None:
-        """Return a refusal, or None where the request may go on."""
-        share = self._share(route, rank, now)
-        kept = self._demand.pass_share(
+        """Return a refusal, or None if the request is admitted."""
+        share = self._share_of_rank(route, rank, now)
+        admitted_share = self._demand.pass_share(
             route, rank, workspace, weight=weight, share=share, now=now
         )
-        if kept >= 1.0 or self._rng.random() < kept:
+        if admitted_share >= 1.0 or self._rng.random() < admitted_share:
             return None
-        wait_s = wait_by_share_s(kept, RETRY_AFTER_S, RETRY_AFTER_MOST_S, self._rng)
+        wait_s = wait_by_share_s(
+            admitted_share, RETRY_AFTER_S, MAX_RETRY_AFTER_S, self._rng
+        )
         detail = f"{share:.2f} of rank {rank} may pass"
         return not_run(Reason.OVERLOADED, retry_after_s=wait_s, detail=detail)
 
-    def _share(self, route: str, rank: int, now: float) -> float:
+    def _share_of_rank(self, route: str, rank: int, now: float) -> float:
         level = self._levels.level(route, now)
-        least = min(rank, HIGHEST_LEVEL // LEVEL_STEPS_PER_RANK - 1)
-        return max(PASS_LOWEST, pass_share(level, least))
+        capped_rank = min(rank, HIGHEST_LEVEL // LEVEL_STEPS_PER_RANK - 1)
+        return max(PASS_LOWEST, pass_share(level, capped_rank))
--- a/damaskbay/core/scrub.py
+++ b/damaskbay/core/scrub.py
@@ -1,4 +1,4 @@
-"""Take callers' keys out of a request before it leaves for a backend server."""
+"""Removal of callers' keys from requests before they go to a backend server."""
 
 from damaskbay.const import (
     HEADER_CALL_TOKEN,
@@ -10,7 +10,7 @@
 from damaskbay.core.outcome import Reason, Refusal, not_run
 from damaskbay.helpers.keys import body_holds_key, holds_key
 
-_OWN_HEADERS = frozenset(
+_LAYER_HEADERS = frozenset(
     name.lower()
     for name in (HEADER_KEY, HEADER_CALL_TOKEN, HEADER_DEADLINE, HEADER_REQUEST_ID)
 )
@@ -18,19 +18,19 @@
 
 def scrub(request: Request, presented: str | None) -> Request | Refusal:
     """
-    Return the request without any header or query item that carries a key.
+    Return the request without headers and query items that contain a key.
 
-    A key in the path or the body can't be dropped without changing the request,
-    so such a request is refused.
+    `presented` is the key that the caller sent. A key in the path or the body
+    can't be removed without changing the request, so such a request is refused.
     """
-    path, mark, query = request.target.partition("?")
+    path, separator, query = request.target.partition("?")
     if holds_key(path, presented):
         return not_run(Reason.BAD_REQUEST, detail="the path holds a key")
     if body_holds_key(request.body, presented):
         return not_run(Reason.BAD_REQUEST, detail="the body holds a key")
     target = path
-    if mark:
-        target = _join(path, _scrub_query(query, presented))
+    if separator:
+        target = _join_target(path, _scrub_query(query, presented))
     headers = _scrub_headers(request.headers, presented)
     return Request(request.method, request.host, target, headers, request.body)
 
@@ -44,11 +44,11 @@
     return tuple(
         (name, value)
         for name, value in headers
-        if name.lower() not in _OWN_HEADERS
+        if name.lower() not in _LAYER_HEADERS
         and not holds_key(value, presented)
         and not holds_key(name, presented)
     )
 
 
-def _join(path: str, query: str) -> str:
+def _join_target(path: str, query: str) -> str:
     return f"{path}?{query}" if query else path
--- a/damaskbay/ports/__init__.py
+++ b/damaskbay/ports/__init__.py
@@ -1,1 +1,1 @@
-"""Interfaces between the decisions and the outside."""
+"""Interfaces between the decision logic and the outside world."""
--- a/damaskbay/ports/backend.py
+++ b/damaskbay/ports/backend.py
@@ -8,7 +8,7 @@
 
 
 class BackendServer(Protocol):
-    """The one backend server beside this daemon."""
+    """The one backend server that runs next to this daemon."""
 
     def call(
         self,
@@ -19,10 +19,10 @@
         cancellation: Cancellation,
     ) -> Answer | Refusal:
         """
-        Send once and block until a whole answer, a refusal or the deadline.
+        Send the request once and block until the response, a refusal or the deadline.
 
-        A refusal is `not_run` only when no byte of the request was written.
-        `deadline` is in seconds of the monotonic clock. A cancellation closes
-        the connection, which the backend server takes as a cancellation.
+        A refusal is `not_run` only if no byte of the request was written. `deadline`
+        is in seconds of the monotonic clock. A cancellation closes the connection,
+        which the backend server treats as a cancellation.
         """
         ...
--- a/damaskbay/ports/caller.py
+++ b/damaskbay/ports/caller.py
@@ -1,4 +1,4 @@
-"""Port that the caller-facing edge hands calls to."""
+"""Port through which the caller-facing edge passes on calls."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -10,9 +10,9 @@
 @dataclass(frozen=True, slots=True)
 class IncomingCall:
     """
-    One call as it came in, with what its headers claim.
+    One received call, with the values of its request headers.
 
-    A call with `call_token` is nested: it comes from the local backend server.
+    A call with a `call_token` is nested: it comes from the local backend server.
     `deadline_s` is in seconds from now.
     """
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServedCall:
-    """A result with the id that operators find the call by."""
+    """Result of a call, with the call id that operators look it up by."""
 
     call_id: str
     result: CallResult
@@ -34,19 +34,19 @@
 
 @dataclass(frozen=True, slots=True)
 class IssuedIds:
-    """Fresh request ids and how long they are good for, in seconds."""
+    """New request ids and their validity in seconds."""
 
     request_ids: tuple[str, ...]
     valid_s: float
 
 
 class CallerService(Protocol):
-    """Serves callers. Safe from any thread; `serve` blocks until the call ends."""
+    """Service for callers; thread-safe, and `serve` blocks until the call ends."""
 
     def serve(self, call: IncomingCall, cancellation: Cancellation) -> ServedCall:
-        """Serve one call to its end."""
+        """Run one call and return its result."""
         ...
 
     def issue_request_ids(self, count: int) -> IssuedIds:
-        """Issue ids for requests that must run at most once."""
+        """Issue up to `count` ids for requests that must run at most once."""
         ...
--- a/damaskbay/ports/fleet.py
+++ b/damaskbay/ports/fleet.py
@@ -1,4 +1,4 @@
-"""What the request path asks of the parts that act together as a fleet."""
+"""Ports of the request path to membership, rate limits and configuration."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class ServerState(Enum):
-    """What a backend server announces of itself."""
+    """State that a backend server announces."""
 
     STARTING = "starting"
     READY = "ready"
@@ -22,10 +22,11 @@
 @dataclass(frozen=True, slots=True)
 class ServerView:
     """
-    A backend server and the daemon beside it, as this daemon knows them.
+    A backend server and the daemon next to it, as known to this daemon.
 
-    `ready_at` is when it was first seen ready, in seconds of the local monotonic
-    clock. `load` is its reported share of slots in use, a hint only.
+    `ready_at` is when the server was first seen ready, in seconds of the local
+    monotonic clock. `load` is the reported fraction of its slots in use and may be
+    out of date.
     """
 
     instance: str
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
-    """A live daemon, whether or not its backend server takes work."""
+    """A live daemon, whether or not its backend server accepts calls."""
 
     instance: str
     incarnation: int
@@ -51,42 +52,42 @@
 
 
 class Membership(Protocol):
-    """Knows the backend servers. Safe from any thread, never blocks."""
+    """View of the backend servers and daemons; thread-safe, never blocks."""
 
     def servers(self, pool: str) -> tuple[ServerView, ...]:
-        """Return the servers of a pool that may get new work."""
+        """Return the servers of a pool that may receive new calls."""
         ...
 
     def by_instance(self, instance: str) -> ServerView | None:
-        """Return one server, whatever its state, or None where it is unknown."""
+        """Return one server in any state, or None if it is unknown."""
         ...
 
     def members(self) -> tuple[MemberView, ...]:
-        """Return the live daemons of the own failure domain, this one included."""
+        """Return the live daemons of the local failure domain, including this one."""
         ...
 
     def announce(
         self, *, pool: str, state: ServerState, slots: int, load: float
     ) -> None:
-        """Take what the local backend server says of itself."""
+        """Publish the state of the local backend server to the other daemons."""
         ...
 
     def suspect(self, instance: str, incarnation: int) -> None:
-        """Take note that a call to this daemon failed on the way."""
+        """Report that a call to this daemon failed in transit."""
         ...
 
 
 class RateGate(Protocol):
-    """Counts root calls against rate and burst over the whole fleet."""
+    """Fleet-wide rate limiter for root calls."""
 
     def acquire(
         self, workspace: str, limits: tuple[str, ...], *, deadline: float, now: float
     ) -> Refusal | None:
         """
-        Spend one token of the workspace and of each limit, or none at all.
+        Spend one token of the workspace and one of each limit, or none at all.
 
-        May block for a short time on the share's holder. Returns None when
-        admitted. Times in seconds of the monotonic clock.
+        May block for a short time while waiting for the holder of a share. Returns
+        None if the call is admitted. Times are in seconds of the monotonic clock.
         """
         ...
 
@@ -94,11 +95,11 @@
 @dataclass(frozen=True, slots=True)
 class ConfigState:
     """
-    The set in force and how surely it is the newest.
+    The active configuration set and the time of its last proof.
 
-    `proven_at` is when it was last proven the newest, in seconds of the local
-    monotonic clock. `outage_for_all` tells that no failure domain can reach the
-    platform, so that nobody can publish.
+    `proven_at` is when the set was last proven to be the newest, in seconds of the
+    local monotonic clock. `outage_for_all` means that no failure domain can reach
+    the platform, so that no newer set can be published.
     """
 
     config: ConfigSet
@@ -107,12 +108,12 @@
 
 
 class ConfigSource(Protocol):
-    """Holds the set in force. Safe from any thread, never blocks."""
+    """Source of the active configuration set; thread-safe, never blocks."""
 
     def state(self) -> ConfigState | None:
-        """Return the set in force, or None where there is none yet."""
+        """Return the active configuration set, or None if there is none yet."""
         ...
 
     def subscribe(self, callback: Callable[[ConfigSet], None]) -> None:
-        """Call back, on the owner's thread, whenever a newer set is in force."""
+        """Call back on the source's own thread whenever a newer set becomes active."""
         ...
--- a/damaskbay/ports/metrics.py
+++ b/damaskbay/ports/metrics.py
@@ -1,4 +1,4 @@
-"""Port to metrics and to the record that explains decisions."""
+"""Port to the metrics and to the decision log."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -11,8 +11,9 @@
     """
     A call that ended at its ingress.
 
-    `context` is None where the call was refused before it had one; `route` and
-    `set_version` then tell how far it came. `took_s` is in seconds.
+    `context` is None if the call was refused before it had one; `route` and
+    `set_version` are then set if they were already known. `took_s` is the duration
+    in seconds.
     """
 
     call_id: str
@@ -24,12 +25,12 @@
 
 
 class CallObserver(Protocol):
-    """Is told how calls went. Safe from any thread, never blocks."""
+    """Observer of calls, for metrics and logs; thread-safe, never blocks."""
 
     def call_ended(self, ended: EndedCall) -> None:
-        """Take note of a call that ended at its ingress."""
+        """Record a call that ended at its ingress."""
         ...
 
     def queue_waited(self, context: CallContext, waited_s: float) -> None:
-        """Take note of the time a call waited for admission, in seconds."""
+        """Record how long a call waited for admission, in seconds."""
         ...
--- a/damaskbay/ports/operator.py
+++ b/damaskbay/ports/operator.py
@@ -1,4 +1,4 @@
-"""Port that the operator listener asks."""
+"""Port that serves the requests of the operator listener."""
 
 from dataclasses import dataclass
 from typing import Any, Protocol
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Health:
-    """Whether the daemon can take calls, and if not, why."""
+    """Readiness of the daemon; `reasons` say why it cannot accept calls."""
 
     reasons: tuple[str, ...] = ()
 
     @property
     def ready(self) -> bool:
-        """Tell whether the daemon can take calls."""
+        """Return whether the daemon can accept calls."""
         return not self.reasons
 
     def document(self) -> dict[str, Any]:
@@ -23,14 +23,14 @@
 
 
 class OperatorService(Protocol):
-    """Answers operators. Safe from any thread."""
+    """Service for operators; thread-safe."""
 
     def scrape(self) -> bytes:
         """Return the metrics in the Prometheus text format."""
         ...
 
     def health(self) -> Health:
-        """Return whether the daemon can take calls."""
+        """Return whether the daemon can accept calls, and why not."""
         ...
 
     def status(self) -> dict[str, Any]:
@@ -42,5 +42,5 @@
         ...
 
     def announce(self, state: ServerState, slots: int, load: float) -> None:
-        """Take what the local backend server says of itself."""
+        """Publish the state of the local backend server to the other daemons."""
         ...
--- a/damaskbay/ports/peer.py
+++ b/damaskbay/ports/peer.py
@@ -1,4 +1,4 @@
-"""Port to other daemons: typed messages over proven streams."""
+"""Port to other daemons: typed messages over authenticated streams."""
 
 from collections.abc import Callable
 from concurrent.futures import Future
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class PeerAddress:
-    """Where a daemon listens for peers: IP number and TCP port."""
+    """IP address and TCP port at which a daemon listens for peers."""
 
     host: str
     port: int
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerIdentity:
-    """Who is at the other end of a proven stream."""
+    """Identity of the daemon at the other end of an authenticated stream."""
 
     instance: str
     incarnation: int
@@ -28,16 +28,16 @@
 
 
 class PeerProblem(Enum):
-    """Why a message brought no answer."""
+    """Reason why a request got no reply."""
 
     NOT_SENT = "not_sent"
     """No byte of the message left this process."""
 
     LOST = "lost"
-    """The stream broke or went silent after bytes had left."""
+    """The stream broke or became unresponsive after bytes had been sent."""
 
     TIMEOUT = "timeout"
-    """No answer in time; the message may have been handled."""
+    """No reply in time; the message may have been handled."""
 
     CANCELLED = "cancelled"
     """The sender cancelled; the message may have been handled."""
@@ -48,45 +48,45 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerFailure:
-    """A message that brought no answer."""
+    """Result of a request that got no reply."""
 
     problem: PeerProblem
     detail: str = ""
 
 
 class Responder(Protocol):
-    """Answers one message, once. Later answers are dropped."""
+    """Sender of the reply to one message; only the first reply is sent."""
 
     def answer(self, message: Any) -> None:
-        """Send the answer; safe from any thread."""
+        """Send the reply; thread-safe."""
         ...
 
     def on_cancel(self, callback: Callable[[], None]) -> None:
-        """Call back when the sender cancels or the stream ends before an answer."""
+        """Call back if the sender cancels or the stream ends before the reply."""
         ...
 
 
 Handler = Callable[[PeerIdentity, Any, Responder], None]
-"""Runs on the task that owns the stream: it must hand work on and not block."""
+"""Runs on the task that owns the stream, so it must not block but hand work on."""
 
 
 class PeerLink(Protocol):
-    """Sends typed messages (see helpers.messages) to other daemons."""
+    """Link that sends typed messages (see helpers.messages) to other daemons."""
 
     def request(
         self, peer: PeerAddress, message: Any, *, timeout_s: float
     ) -> "Future[Any]":
         """
-        Send and return a future of the answer message or a PeerFailure.
+        Send a request; return a future of the reply message or a PeerFailure.
 
         Cancelling the future sends a cancellation to the peer.
         """
         ...
 
     def send(self, peer: PeerAddress, message: Any) -> None:
-        """Send without an answer, best effort; dropped where the queue is full."""
+        """Send a message without a reply, best effort; dropped if the queue is full."""
         ...
 
     def register(self, message_type: type[Any], handler: Handler) -> None:
-        """Handle messages of one type. Call before the link starts."""
+        """Register the handler of one message type, before the link starts."""
         ...
--- a/damaskbay/ports/platform.py
+++ b/damaskbay/ports/platform.py
@@ -6,22 +6,22 @@
 
 
 class PlatformProblem(Enum):
-    """Why the platform gave no usable answer."""
+    """Reason why a platform request has no usable reply."""
 
     UNAVAILABLE = "unavailable"
-    """The call surely had no effect."""
+    """The request certainly had no effect."""
 
     ANSWER_LOST = "answer_lost"
-    """The call may have taken effect: read before trying again."""
+    """The request may have taken effect; read the entry before a retry."""
 
     VALUE_TOO_LARGE = "value_too_large"
     BUSY = "busy"
-    """The service refused for load; the call had no effect."""
+    """The service refused the request because of overload; it had no effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformFailure:
-    """A call that brought no answer."""
+    """Result of a request without a usable reply."""
 
     problem: PlatformProblem
     detail: str = ""
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One value with the revision of its last change (revisions only grow)."""
+    """One value with the revision of its last change; revisions only increase."""
 
     key: str
     value: bytes
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The compare-and-swap lost; `current` is what stands there (None: nothing)."""
+    """Failed compare-and-swap; `current` is the stored entry, None if absent."""
 
     current: Entry | None
 
@@ -47,7 +47,7 @@
     """The platform's key-value service. Every method blocks up to `timeout_s`."""
 
     def get(self, key: str, *, timeout_s: float) -> Entry | PlatformFailure | None:
-        """Return the entry, or None where there is none."""
+        """Return the entry, or None if it does not exist."""
         ...
 
     def list(
@@ -66,20 +66,21 @@
         timeout_s: float,
     ) -> Entry | Conflict | PlatformFailure:
         """
-        Write if the entry's revision is the expected one; 0 means absent.
+        Write if the entry has the expected revision; 0 means that it is absent.
 
-        With `lease_s` the entry is deleted when not written again in that time.
+        With `lease_s`, the entry is deleted unless it is written again within that
+        number of seconds.
         """
         ...
 
     def delete(
         self, key: str, *, expected_revision: int, timeout_s: float
     ) -> Entry | Conflict | PlatformFailure | None:
-        """Delete if the entry's revision is the expected one."""
+        """Delete the entry if it has the expected revision."""
         ...
 
     def watch(
         self, key: str, *, after_revision: int, timeout_s: float
     ) -> Entry | PlatformFailure | None:
-        """Wait until the entry's revision exceeds the given one; None: time is up."""
+        """Wait for a revision above `after_revision`; return None after `timeout_s`."""
         ...
--- a/damaskbay/ports/store.py
+++ b/damaskbay/ports/store.py
@@ -1,4 +1,4 @@
-"""Port to the platform's store as the event-driven daemon uses it."""
+"""Asynchronous port to the platform's store, for the event-driven daemon."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,19 +6,19 @@
 
 
 class StoreProblem(Enum):
-    """Why the store gave no usable answer."""
+    """Reason why a store request has no usable reply."""
 
     UNAVAILABLE = "unavailable"
-    """Nothing was done."""
+    """The request certainly had no effect."""
 
     UNANSWERED = "unanswered"
-    """The call may have been done, or may be done later."""
+    """The request may have taken effect, or may still take effect later."""
 
     BUSY = "busy"
-    """The store refused for load; nothing was done."""
+    """The store refused the request because of overload; it had no effect."""
 
     COMPACTED = "compacted"
-    """The history asked for is no longer there: read anew."""
+    """The requested history has been removed; read the current items again."""
 
     NO_LEASE = "no_lease"
     """The lease has ended."""
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreFailure:
-    """A call that brought no usable answer."""
+    """Result of a request without a usable reply."""
 
     problem: StoreProblem
     detail: str = ""
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreItem:
-    """One value with the revision of its last change; `value` None: removed."""
+    """One value with the revision of its last change; None if it was removed."""
 
     key: str
     value: bytes | None
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreReading:
-    """Items or changes, and the store's revision that they are complete up to."""
+    """Items or changes, complete up to and including a revision of the store."""
 
     items: tuple[StoreItem, ...]
     revision: int
@@ -51,13 +51,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreConflict:
-    """The precondition did not hold; the revision now there, 0 for none."""
+    """Failed precondition; `revision` is the current one, 0 if the key is absent."""
 
     revision: int
 
 
 class Store(Protocol):
-    """Linearizable reads, watches, conditional writes and leases."""
+    """Store with linearizable reads, watches, conditional writes and leases."""
 
     async def read(self, prefix: str) -> StoreReading | StoreFailure:
         """Return all items whose key starts with the prefix."""
@@ -66,17 +66,17 @@
     async def watch(
         self, prefix: str, *, after: int, wait_s: float
     ) -> StoreReading | StoreFailure:
-        """Wait for changes after a revision; no items: time is up."""
+        """Wait for changes after a revision; return no items after `wait_s` seconds."""
         ...
 
     async def write(
         self, key: str, value: bytes, *, expected: int, lease: int
     ) -> int | StoreConflict | StoreFailure:
-        """Write if the key's revision is the expected one; return the new one."""
+        """Write if the key has the expected revision; return the new revision."""
         ...
 
     async def grant(self, ttl_s: float) -> int | StoreFailure:
-        """Return a new lease."""
+        """Create a lease of `ttl_s` seconds and return its id."""
         ...
 
     async def keep(self, lease: int) -> StoreFailure | None:
--- a/tests/core/common.py
+++ b/tests/core/common.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of decisions."""
+"""Fixtures for the tests of the decision logic."""
 
 from damaskbay.config.objects import Access, Route
 from damaskbay.core.call import CallContext
@@ -14,7 +14,7 @@
     retry_tokens: int = 0,
     pool: str = "campo",
 ) -> CallContext:
-    """Return a context of a call with a few things of interest."""
+    """Return a call context in which the fields that tests vary can be set."""
     return CallContext(
         call_id="call-1",
         workspace=workspace,
--- a/tests/core/test_at_most_once.py
+++ b/tests/core/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Tests of core.at_most_once: no request id runs twice, whatever happens."""
+"""Tests of core.at_most_once: no request id runs twice."""
 
 import random
 import unittest
@@ -26,26 +26,28 @@
 SECRET = b"an old peer secret"
 ADDRESS = PeerAddress("127.0.0.1", 7000)
 NEW_SECRET = b"a newer peer secret"
-PRINT = b"fingerprint"
-SMALL = AtMostOnceOptions(validity_s=60.0, max_ids=4, max_answer_bytes=2_000)
+FINGERPRINT = b"fingerprint"
+SMALL_LIMITS = AtMostOnceOptions(validity_s=60.0, max_ids=4, max_response_bytes=2_000)
 DAEMONS = ("a", "b", "c")
 
 
-def owner(options: AtMostOnceOptions = SMALL, secret: bytes = SECRET) -> RequestOwner:
+def owner(
+    options: AtMostOnceOptions = SMALL_LIMITS, secret: bytes = SECRET
+) -> RequestOwner:
     """Return an owner of instance "a"."""
     return RequestOwner("a", 1, (secret,), random.Random(1), ADDRESS, options)
 
 
 class Fleet(RuleBasedStateMachine):
     """
-    Daemons that crash and forget, callers that repeat, results that get lost.
+    State machine of daemons that restart, callers that retry and lost results.
 
     `runs` counts the runs of each id that may have reached a backend server.
     """
 
     @initialize()
     def start(self) -> None:
-        """Start the daemons, all with the same incarnation number."""
+        """Start the daemons with the same incarnation number."""
         self.rng = random.Random(7)
         self.now = 0.0
         self.runs: dict[str, int] = {}
@@ -55,7 +57,7 @@
         self.owners = {name: self._new_owner(name) for name in DAEMONS}
 
     def _new_owner(self, name: str) -> RequestOwner:
-        return RequestOwner(name, 1, (SECRET,), self.rng, ADDRESS, SMALL)
+        return RequestOwner(name, 1, (SECRET,), self.rng, ADDRESS, SMALL_LIMITS)
 
     @rule(name=st.sampled_from(DAEMONS), count=st.integers(1, 3))
     def issue(self, name: str, count: int) -> None:
@@ -64,14 +66,14 @@
 
     @rule(choice=st.integers(0, 30))
     def send(self, choice: int) -> None:
-        """Send one of the ids to any daemon, which forwards it to its owner."""
+        """Send one of the ids to its owner, as any receiving daemon would."""
         if not self.ids:
             return
         request_id = self.ids[choice % len(self.ids)]
         ref = parse_request_id((SECRET,), request_id)
         assert isinstance(ref, OwnerRef)
         process = self.owners[ref.instance]
-        result = process.begin(request_id, PRINT, self.now)
+        result = process.begin(request_id, FINGERPRINT, self.now)
         if isinstance(result, Run):
             self.runs[request_id] = self.runs.get(request_id, 0) + 1
             assert self.runs[request_id] == 1, "ran twice"
@@ -79,14 +81,14 @@
         elif isinstance(result, Answer):
             assert result == self.first_answers[request_id]
         elif result.not_run:
-            raise AssertionError("an id that may have run was called not_run")
+            raise AssertionError("an id that may have run was refused as not_run")
 
     @rule(
         choice=st.integers(0, 30),
         end=st.sampled_from(["answer", "lost", "not_run", "unknown", "paused"]),
     )
     def end(self, choice: int, end: str) -> None:
-        """End a run; its process may be gone, paused past every validity."""
+        """End a run, possibly after a pause that is longer than the id validity."""
         if not self.running:
             return
         process, request_id = self.running.pop(choice % len(self.running))
@@ -105,23 +107,23 @@
 
     @rule(name=st.sampled_from(DAEMONS))
     def crash(self, name: str) -> None:
-        """Restart a daemon, even with the incarnation number it had."""
+        """Restart a daemon with the incarnation number that it had before."""
         self.owners[name] = self._new_owner(name)
 
     @rule(seconds=st.floats(0.0, 40.0))
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.now += seconds
 
     def teardown(self) -> None:
-        """Check the bounds of what is remembered."""
+        """Check that the stored ids and responses stay within their limits."""
         for process in self.owners.values():
-            assert len(process) <= SMALL.max_ids
-            assert process.answer_bytes <= SMALL.max_answer_bytes
+            assert len(process) <= SMALL_LIMITS.max_ids
+            assert process.response_bytes <= SMALL_LIMITS.max_response_bytes
 
 
 def test_no_id_runs_twice() -> None:
-    """Sends, repeats, losses, crashes, pauses and full memory in any order."""
+    """No id runs twice under retries, losses, restarts, pauses and full memory."""
     run_state_machine_as_test(
         Fleet,
         settings=settings(
@@ -131,44 +133,44 @@
 
 
 def test_repeat_gets_the_first_answer_or_already_running() -> None:
-    """The three answers to a repeat."""
+    """A retry gets `already_running` during the run and the first response after it."""
     process = owner()
     (request_id,) = process.issue(1, 0.0)
-    assert process.begin(request_id, PRINT, 1.0) == Run(request_id)
-    running = process.begin(request_id, PRINT, 2.0)
+    assert process.begin(request_id, FINGERPRINT, 1.0) == Run(request_id)
+    running = process.begin(request_id, FINGERPRINT, 2.0)
     assert isinstance(running, Refusal)
     assert running.reason is Reason.ALREADY_RUNNING
     assert running.outcome is Outcome.UNKNOWN
     process.finish(request_id, Answer(201, body=b"done"), 3.0)
-    assert process.begin(request_id, PRINT, 4.0) == Answer(201, body=b"done")
+    assert process.begin(request_id, FINGERPRINT, 4.0) == Answer(201, body=b"done")
     process.finish(request_id, Answer(500), 5.0)
-    assert process.begin(request_id, PRINT, 6.0) == Answer(201, body=b"done")
+    assert process.begin(request_id, FINGERPRINT, 6.0) == Answer(201, body=b"done")
 
 
 def test_unknown_stays_unknown_and_not_run_may_run() -> None:
-    """Only a run that surely did not happen is repeated."""
+    """Only a run that ended as `not_run` may be started again."""
     process = owner()
     first, second = process.issue(2, 0.0)
     for request_id in (first, second):
-        assert process.begin(request_id, PRINT, 0.0) == Run(request_id)
+        assert process.begin(request_id, FINGERPRINT, 0.0) == Run(request_id)
     process.finish(first, unknown(Reason.PEER_LOST), 1.0)
     process.finish(second, not_run(Reason.OVERLOADED), 1.0)
-    assert process.begin(first, PRINT, 2.0) == unknown(Reason.PEER_LOST)
-    assert process.begin(second, PRINT, 2.0) == Run(second)
+    assert process.begin(first, FINGERPRINT, 2.0) == unknown(Reason.PEER_LOST)
+    assert process.begin(second, FINGERPRINT, 2.0) == Run(second)
 
 
 def test_another_request_under_the_same_id() -> None:
-    """An id belongs to its first request and workspace."""
+    """An id is bound to its first request and workspace."""
     process = owner()
     (request_id,) = process.issue(1, 0.0)
     request = Request("POST", "host", "/draws", body=b"one")
-    prints = {
+    fingerprints = {
         fingerprint_of("flock", request),
         fingerprint_of("other", request),
         fingerprint_of("flock", Request("POST", "host", "/draws", body=b"two")),
     }
-    assert len(prints) == 3
-    results = [process.begin(request_id, item, 0.0) for item in sorted(prints)]
+    assert len(fingerprints) == 3
+    results = [process.begin(request_id, item, 0.0) for item in sorted(fingerprints)]
     assert results[0] == Run(request_id)
     for result in results[1:]:
         assert isinstance(result, Refusal)
@@ -178,24 +180,24 @@
 @given(st.text(max_size=200))
 @settings(derandomize=True)
 def test_ids_that_were_never_issued(text: str) -> None:
-    """Any text of a caller's own making is refused as not run."""
-    result = owner().begin(text, PRINT, 0.0)
+    """Any text that no daemon issued is refused as `not_run`."""
+    result = owner().begin(text, FINGERPRINT, 0.0)
     assert isinstance(result, Refusal)
     assert result.reason is Reason.REQUEST_ID_NOT_ISSUED
     assert result.not_run
 
 
 def test_changed_id_is_not_issued() -> None:
-    """No character of an id can be changed to make another one."""
+    """An id with any one character changed fails verification."""
     (request_id,) = owner().issue(1, 0.0)
-    for place in range(len(request_id) - 1):
-        other = "A" if request_id[place] != "A" else "B"
-        changed = request_id[:place] + other + request_id[place + 1 :]
+    for index in range(len(request_id) - 1):
+        other = "A" if request_id[index] != "A" else "B"
+        changed = request_id[:index] + other + request_id[index + 1 :]
         assert isinstance(parse_request_id((SECRET,), changed), Refusal)
 
 
 def test_secret_rotation_keeps_ids() -> None:
-    """An id signed by an older secret that is still accepted stays good."""
+    """An id signed with an older secret stays valid while the secret is accepted."""
     ref = OwnerRef("a", 1, 2, 3, 4, ADDRESS)
     old = sign_request_id(SECRET, ref)
     assert parse_request_id((NEW_SECRET, SECRET), old) == ref
@@ -203,14 +205,14 @@
 
 
 def test_full_memory_and_expiry_give_unknown() -> None:
-    """An id that may be forgotten never runs, used before or not."""
+    """An id that may have been dropped never runs, whether or not it was used."""
     process = owner()
     ids = process.issue(6, 0.0)
     for request_id in ids[1:]:
-        assert process.begin(request_id, PRINT, 0.0) == Run(request_id)
+        assert process.begin(request_id, FINGERPRINT, 0.0) == Run(request_id)
     late = process.issue(1, 30.0)[0]
     for request_id, now in ((ids[0], 1.0), (ids[1], 1.0), (late, 91.0)):
-        result = process.begin(request_id, PRINT, now)
+        result = process.begin(request_id, FINGERPRINT, now)
         assert result == unknown(
             Reason.REQUEST_ID_EXPIRED, detail="the request id is too old"
         )
--- a/tests/core/test_call_tree.py
+++ b/tests/core/test_call_tree.py
@@ -10,14 +10,14 @@
 
 
 def child(tree: CallTree, token: str, now: float = 0.0) -> CallContext:
-    """Return the context of a nested call that must be allowed."""
+    """Return the context of a nested call; fail if it is refused."""
     context = tree.child_context(token, make_route(), now)
     assert isinstance(context, CallContext)
     return context
 
 
 def test_child_inherits_from_the_root() -> None:
-    """Workspace, priority, call id and the earlier deadline go down the tree."""
+    """A nested call gets the workspace, priority, call id and earlier deadline."""
     tree = CallTree()
     tree.open(make_context(priority_rank=0, deadline=3.0), "t")
     context = child(tree, "t")
@@ -27,14 +27,14 @@
 
 
 def test_route_may_shorten_the_deadline() -> None:
-    """A route's own deadline holds where it is the earlier one."""
+    """The deadline of the route applies if it is the earlier one."""
     tree = CallTree()
     tree.open(make_context(deadline=30.0), "t")
     assert child(tree, "t", 1.0).deadline == 6.0
 
 
 def test_token_is_void_after_close_and_after_the_deadline() -> None:
-    """A call token works only while its request runs."""
+    """A call token is valid only while its request runs."""
     tree = CallTree()
     tree.open(make_context(), "t")
     tree.close("t")
@@ -48,7 +48,7 @@
 
 
 def test_depth_is_bounded() -> None:
-    """A tree that goes on calling ends with a refusal."""
+    """A nested call beyond the maximum depth is refused."""
     tree = CallTree(max_depth=2)
     tree.open(make_context(depth=2), "t")
     refusal = tree.child_context("t", make_route(), 0.0)
@@ -57,7 +57,7 @@
 
 
 def test_tokens_are_moved_and_come_back_once() -> None:
-    """Two siblings share what the parent holds; a doubled return adds nothing."""
+    """Siblings share the parent's tokens; a second return has no effect."""
     tree = CallTree()
     tree.open(make_context(retry_tokens=3), "t")
     first = child(tree, "t")
@@ -70,7 +70,7 @@
 
 
 def test_cancel_reaches_the_whole_subtree() -> None:
-    """Cancelling a call ends what it called, over two levels on one daemon."""
+    """Cancelling a call ends its nested calls, over two levels at one daemon."""
     tree = CallTree()
     tree.open(make_context(), "root")
     tree.started("root", 1, child(tree, "root"))
@@ -82,7 +82,7 @@
 
 
 def test_passed_deadline_cancels_the_subtree() -> None:
-    """Nothing runs on below a call whose deadline has passed."""
+    """All calls below a call are cancelled when its deadline passes."""
     tree = CallTree()
     tree.open(make_context(deadline=1.0), "t")
     tree.started("t", 7, child(tree, "t"))
--- a/tests/core/test_edge.py
+++ b/tests/core/test_edge.py
@@ -10,7 +10,7 @@
 
 
 def test_important_calls_always_find_more_room() -> None:
-    """Each rank stops at or before the one above it; the first may fill all."""
+    """No rank has a higher limit than the one above it; rank 0 may use all threads."""
     room = EdgeRoom(THREADS)
     limits = [room.limit_for(rank) for rank in range(RANKS)]
     assert limits[0] == THREADS
@@ -20,7 +20,7 @@
 
 
 def test_refusal_is_not_run() -> None:
-    """A call without room is refused before anything of it is sent."""
+    """A call at the limit of its rank is refused as `not_run`."""
     room = EdgeRoom(THREADS)
     full = room.limit_for(1)
     assert room.refuse(full - 1, 1) is None
--- a/tests/core/test_explain.py
+++ b/tests/core/test_explain.py
@@ -16,7 +16,7 @@
 
 
 def test_found_by_call_and_by_workspace() -> None:
-    """The newest decisions are found, oldest first."""
+    """Decisions are found by call id and by workspace, oldest first."""
     log = DecisionLog()
     for number in range(3):
         log.record(_decision(number))
@@ -27,7 +27,7 @@
 
 
 def test_memory_is_bounded() -> None:
-    """Calls and workspaces that callers make up push out only the oldest."""
+    """Arbitrary call ids and workspaces replace only the oldest decisions."""
     log = DecisionLog(max_decisions=100)
     for number in range(5 * MAX_WORKSPACES):
         log.record(_decision(number, f"w{number}"))
--- a/tests/core/test_freshness.py
+++ b/tests/core/test_freshness.py
@@ -16,7 +16,7 @@
 
 
 def test_a_set_that_cannot_be_proven_refuses_after_the_routes_time() -> None:
-    """Up to the time the route is served, past it refused as not run."""
+    """A route is served up to its `unproven_after_s`, then refused as `not_run`."""
     assert may_serve(ROUTE, ConfigState(CONFIG, NOW - 5.0), NOW) is None
     refusal = may_serve(ROUTE, ConfigState(CONFIG, NOW - 5.1), NOW)
     assert refusal is not None
@@ -25,13 +25,13 @@
 
 
 def test_an_outage_that_stops_all_publishing_refuses_nothing() -> None:
-    """Nobody can have withdrawn a key, so the old set is the newest."""
+    """No key can have been withdrawn, so the active set is still the newest."""
     state = ConfigState(CONFIG, NOW - 3600.0, outage_for_all=True)
     assert may_serve(ROUTE, state, NOW) is None
 
 
 def test_an_operator_may_choose_to_serve_on() -> None:
-    """The route's own choice goes first."""
+    """A route with `when_unproven` set to serve is never refused."""
     route = replace(ROUTE, when_unproven=WhenUnproven.SERVE)
     assert may_serve(route, ConfigState(CONFIG, NOW - 3600.0), NOW) is None
 
--- a/tests/core/test_http_status.py
+++ b/tests/core/test_http_status.py
@@ -8,13 +8,13 @@
 
 
 def test_every_reason_has_an_error_status() -> None:
-    """No refusal can pass for an answer."""
+    """No refusal has the status of a successful response."""
     for reason in Reason:
         assert 400 <= status_of(not_run(reason)) <= 599
 
 
 def test_statuses_that_callers_rely_on() -> None:
-    """The statuses of the common refusals stay."""
+    """The statuses of common refusals are stable."""
     assert status_of(not_run(Reason.KEY_WITHDRAWN)) == 401
     assert status_of(not_run(Reason.RATE_EXCEEDED)) == 429
     assert status_of(not_run(Reason.ALREADY_RUNNING)) == 409
--- a/tests/core/test_identify.py
+++ b/tests/core/test_identify.py
@@ -42,7 +42,7 @@
 
 
 def test_key_gives_its_workspace() -> None:
-    """Workspace, priority, allowance and deadline come from the set."""
+    """Workspace, priority, retry tokens and deadline come from the configuration."""
     context = _identify(Credentials(SECRET))
     assert isinstance(context, CallContext)
     assert (context.workspace, context.priority_rank) == ("w", 0)
@@ -50,18 +50,20 @@
 
 
 def test_caller_narrows_but_never_widens() -> None:
-    """A deadline may be shortened, a request marked non-idempotent; not back."""
+    """A caller may shorten the deadline or deny idempotence, but not the reverse."""
     short = _identify(Credentials(SECRET, deadline_s=0.5, idempotent=False))
     assert isinstance(short, CallContext)
     assert (short.deadline, short.idempotent) == (NOW + 0.5, False)
-    once = replace(ROUTE, idempotent=False)
-    wide = _identify(Credentials(SECRET, deadline_s=60.0, idempotent=True), once)
+    non_idempotent = replace(ROUTE, idempotent=False)
+    wide = _identify(
+        Credentials(SECRET, deadline_s=60.0, idempotent=True), non_idempotent
+    )
     assert isinstance(wide, CallContext)
     assert (wide.deadline, wide.idempotent) == (NOW + 2.0, False)
 
 
 def test_no_key_unknown_key_expired_key() -> None:
-    """A keyed route needs a key that holds; each refusal is not_run."""
+    """A keyed route needs a valid key; each refusal is `not_run`."""
     key = replace(CONFIG.keys_by_digest[digest_of(SECRET)], expires_at=WALL_NOW)
     expired = replace(CONFIG, keys_by_digest={key.digest: key})
     cases = [
@@ -76,7 +78,7 @@
 
 
 def test_open_route_serves_without_a_key() -> None:
-    """An open route runs for nobody's workspace when the key is missing or bad."""
+    """An open route runs without a workspace if the key is missing or invalid."""
     route = replace(ROUTE, access=Access.OPEN)
     for credentials in (Credentials(), Credentials("dk_other")):
         context = _identify(credentials, route)
@@ -85,7 +87,7 @@
 
 
 def test_withdrawn_objects_stop_waiting_calls() -> None:
-    """A call in the queue is looked at again with the newer set."""
+    """A waiting call is checked again with the newer configuration set."""
     context = _identify(Credentials(SECRET))
     assert isinstance(context, CallContext)
     assert still_allowed(CONFIG, context) is None
--- a/tests/core/test_scrub.py
+++ b/tests/core/test_scrub.py
@@ -1,4 +1,4 @@
-"""Tests of core.scrub: no key leaves for a backend server."""
+"""Tests of core.scrub: no key is forwarded to a backend server."""
 
 import base64
 import unittest
@@ -27,7 +27,7 @@
 _WORDS = st.text("abcdefgh", min_size=1, max_size=6)
 
 
-def _everything(request: Request) -> str:
+def _all_text(request: Request) -> str:
     headers = " ".join(f"{name}:{value}" for name, value in request.headers)
     return f"{request.target} {headers} {request.body!r}"
 
@@ -37,7 +37,7 @@
 def test_headers_and_query_items_with_a_key_are_dropped(
     name: str, form: str, item: str, kept: str
 ) -> None:
-    """Whatever the name, place and encoding, the key goes and the rest stays."""
+    """A key is removed under any name, position and encoding; the rest is kept."""
     request = Request(
         "GET",
         "campo",
@@ -48,11 +48,11 @@
     assert isinstance(clean, Request)
     assert clean.target == f"/x?kept={kept}"
     assert clean.headers == (("X-Kept", kept),)
-    assert KEY not in _everything(clean)
+    assert KEY not in _all_text(clean)
 
 
 def test_a_key_of_another_shape_is_found_by_what_was_presented() -> None:
-    """Keys need not have our prefix to be dropped."""
+    """A presented key is removed even without the usual key prefix."""
     request = Request("GET", "campo", "/x?k=old-style-key", (("X", "old-style-key"),))
     clean = scrub(request, "old-style-key")
     assert isinstance(clean, Request)
@@ -60,14 +60,14 @@
 
 
 def test_a_key_that_was_not_presented_is_dropped_too() -> None:
-    """A key in the wrong place goes even where no key came in the right one."""
+    """A key in the query is removed even if no key was presented in the header."""
     clean = scrub(Request("GET", "campo", f"/x?key={KEY}"), None)
     assert isinstance(clean, Request)
     assert clean.target == "/x"
 
 
 def test_a_key_in_path_or_body_is_refused() -> None:
-    """These can't be dropped without changing the request."""
+    """A key in the path or body can't be removed without changing the request."""
     for request in (
         Request("GET", "campo", f"/x/{KEY}"),
         Request("POST", "campo", "/x", (), f'{{"key": "{KEY}"}}'.encode()),
@@ -79,7 +79,7 @@
 
 
 def test_call_token_of_the_caller_is_dropped() -> None:
-    """A call token goes no further than the daemon it was made for."""
+    """A call token is not forwarded beyond the daemon that issued it."""
     clean = scrub(Request("GET", "c", "/x", ((HEADER_CALL_TOKEN, "t"),)), None)
     assert isinstance(clean, Request)
     assert clean.headers == ()
