--- a/damaskbay/core/membership/__init__.py
+++ b/damaskbay/core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of one failure domain: who lives, decided without any I/O."""
+"""Membership protocol of one failure domain, decision logic without any I/O."""
--- a/damaskbay/core/membership/const.py
+++ b/damaskbay/core/membership/const.py
@@ -1,4 +1,4 @@
-"""Bounds of the membership protocol."""
+"""Limits and sizes of the membership protocol."""
 
 MAX_NAME_CHARS = 64
 MAX_MEMBERS = 4_000
--- a/damaskbay/core/membership/contacts.py
+++ b/damaskbay/core/membership/contacts.py
@@ -1,4 +1,4 @@
-"""A handful of daemons of each failure domain, by which others find them."""
+"""Contact daemons of each failure domain, through which other domains reach it."""
 
 import hashlib
 from collections.abc import Iterable
@@ -17,10 +17,10 @@
 @dataclass(frozen=True, slots=True)
 class Contact:
     """
-    Where to reach one daemon of a failure domain.
+    Addresses of one contact daemon of a failure domain.
 
-    A domain has a few, one in each `slot`. `revision` is that of the platform's
-    entry.
+    A domain has a few contacts, one in each `slot`. `revision` is the revision of
+    its entry in the platform's store.
     """
 
     failure_domain: str
@@ -31,19 +31,19 @@
 
     @property
     def place(self) -> tuple[str, int]:
-        """Return what no two contacts have in common."""
+        """Return the unique key of the contact: failure domain and slot."""
         return (self.failure_domain, self.slot)
 
 
-_Values = tuple[str, int, int, str, int, str, int]
-_LIST_ADAPTER: TypeAdapter[list[_Values]] = TypeAdapter(list[_Values])
+_ContactValues = tuple[str, int, int, str, int, str, int]
+_LIST_ADAPTER: TypeAdapter[list[_ContactValues]] = TypeAdapter(list[_ContactValues])
 
 
 class ContactBook:
     """
-    The newest reading of all contacts.
+    Newest snapshot of the contacts of all failure domains.
 
-    `addresses_by_domain` is empty while nothing was ever read.
+    `addresses_by_domain` is empty until the first snapshot.
     """
 
     def __init__(self) -> None:
@@ -53,19 +53,19 @@
 
     def take(self, contacts: Iterable[Contact]) -> None:
         """
-        Take a whole reading if it is newer than the one at hand.
+        Replace all contacts if the snapshot is newer than the current one.
 
-        The one with the highest revision is newer: the platform counts up with
-        each write of any contact, and each is written again and again.
+        The snapshot with the highest revision is the newer one, since the platform
+        increases the revision with every write and contacts are renewed regularly.
         """
-        reading = tuple(sorted(contacts, key=lambda item: item.place))
-        if _newest(reading) <= _newest(self._contacts):
+        snapshot = tuple(sorted(contacts, key=lambda item: item.place))
+        if _newest_revision(snapshot) <= _newest_revision(self._contacts):
             return
-        self._contacts = reading
-        packed = pack_contacts(reading)
+        self._contacts = snapshot
+        packed = pack_contacts(snapshot)
         self._digest = hashlib.blake2b(packed, digest_size=DIGEST_BYTES).digest()
         by_domain: dict[str, list[PeerAddress]] = {}
-        for contact in reading:
+        for contact in snapshot:
             by_domain.setdefault(contact.failure_domain, []).append(contact.address)
         self.addresses_by_domain = {
             domain: tuple(addresses) for domain, addresses in by_domain.items()
@@ -76,21 +76,21 @@
         return self._contacts
 
     def digest(self) -> bytes:
-        """Return what tells two readings apart."""
+        """Return the digest of the snapshot, empty before the first one."""
         return self._digest
 
 
-def _newest(contacts: Iterable[Contact]) -> int:
+def _newest_revision(contacts: Iterable[Contact]) -> int:
     return max((contact.revision for contact in contacts), default=0)
 
 
 def pack_contacts(contacts: Iterable[Contact]) -> bytes:
-    """Encode contacts for a message or a platform value."""
-    return msgpack.packb([_values(contact) for contact in contacts])  # type: ignore[no-any-return]
+    """Encode contacts for a peer message or a platform entry."""
+    return msgpack.packb([_contact_values(contact) for contact in contacts])  # type: ignore[no-any-return]
 
 
 def unpack_contacts(data: bytes) -> tuple[Contact, ...] | None:
-    """Decode contacts; None where the bytes are none."""
+    """Decode contacts; return None if the bytes are invalid."""
     try:
         rows = _LIST_ADAPTER.validate_python(msgpack.unpackb(data))
     except (ValidationError, ValueError, msgpack.exceptions.UnpackException):
@@ -109,7 +109,7 @@
     )
 
 
-def _values(contact: Contact) -> _Values:
+def _contact_values(contact: Contact) -> _ContactValues:
     return (
         contact.failure_domain,
         contact.slot,
--- a/damaskbay/core/membership/directory.py
+++ b/damaskbay/core/membership/directory.py
@@ -1,4 +1,4 @@
-"""Samples of the servers of each pool for other failure domains."""
+"""Samples of the servers of each pool, exchanged between failure domains."""
 
 from collections.abc import Iterable, Mapping
 
@@ -10,20 +10,20 @@
 
 
 class PoolRevisions:
-    """Counts changes, so that an asking daemon gets only what is new to it."""
+    """Revision counter per pool, so that a reply contains only the changed pools."""
 
     def __init__(self) -> None:
         self.revision = 0
         self._by_pool: dict[str, int] = {}
 
     def touch(self, pools: Iterable[str]) -> None:
-        """Take note that the servers of some pools changed."""
+        """Record that the servers of some pools changed."""
         for pool in pools:
             self.revision += 1
             self._by_pool[pool] = self.revision
 
     def since(self, revision: int, among: Iterable[str] = ()) -> tuple[str, ...]:
-        """Return the pools, of all or of some, that changed after a revision."""
+        """Return the pools that changed after a revision; `among` limits the choice."""
         if revision == self.revision:
             return ()
         by_pool = self._by_pool
@@ -32,7 +32,7 @@
 
 
 class RemoteServers:
-    """What is known of the servers of other failure domains."""
+    """Samples of the servers of other failure domains."""
 
     def __init__(self) -> None:
         self.revisions = PoolRevisions()
@@ -47,15 +47,15 @@
         complete: bool = False,
     ) -> tuple[str, ...]:
         """
-        Replace the samples of some pools of one domain; return what changed.
+        Replace the samples of some pools of one domain; return the changed pools.
 
-        With `complete`, the domain has no pool that is not named.
+        With `complete`, `pools` lists all pools of the domain, and others are removed.
         """
         by_pool = self._entries_by_domain.setdefault(domain, {})
         if complete:
             pools = (*pools, *by_pool.keys() - set(pools))
         changed = []
-        for pool, found in _group(pools, entries).items():
+        for pool, found in _group_by_pool(pools, entries).items():
             if by_pool.get(pool, ()) == found:
                 continue
             by_pool[pool] = found
@@ -66,7 +66,7 @@
         return tuple(changed)
 
     def drop(self, domain: str) -> tuple[str, ...]:
-        """Forget one domain; return the pools that changed."""
+        """Remove one domain; return the pools that changed."""
         pools = tuple(self._entries_by_domain.pop(domain, {}))
         self.revisions.touch(pools)
         return pools
@@ -77,26 +77,29 @@
         return tuple(entry for entries in found for entry in entries)
 
     def domains(self) -> tuple[str, ...]:
-        """Return the domains of which something is known."""
+        """Return the domains with recorded servers."""
         return tuple(self._entries_by_domain)
 
 
-def sample(entries: Iterable[MemberEntry], asker: str) -> tuple[MemberEntry, ...]:
+def sample(entries: Iterable[MemberEntry], requester: str) -> tuple[MemberEntry, ...]:
     """
     Return a bounded sample of live, ready servers.
 
-    Different asking domains get different servers, so that they share the load.
+    `requester` is the requesting failure domain. Different domains get different
+    servers, which spreads the load.
     """
     ready = [
         entry
         for entry in entries
         if entry.status == 0 and entry.state is ServerState.READY
     ]
-    chosen = sorted(ready, key=lambda entry: _weight(entry, asker))[:SAMPLE_SERVERS]
+    chosen = sorted(ready, key=lambda entry: _selection_hash(entry, requester))[
+        :SAMPLE_SERVERS
+    ]
     return tuple(sorted(chosen, key=lambda entry: entry.instance))
 
 
-def _group(
+def _group_by_pool(
     pools: Iterable[str], entries: Iterable[MemberEntry]
 ) -> Mapping[str, tuple[MemberEntry, ...]]:
     by_pool: dict[str, list[MemberEntry]] = {pool: [] for pool in pools}
@@ -106,5 +109,5 @@
     return {pool: tuple(found) for pool, found in by_pool.items()}
 
 
-def _weight(entry: MemberEntry, asker: str) -> bytes:
-    return stable_digest(asker, entry.instance, entry.incarnation)
+def _selection_hash(entry: MemberEntry, requester: str) -> bytes:
+    return stable_digest(requester, entry.instance, entry.incarnation)
--- a/damaskbay/core/membership/entry.py
+++ b/damaskbay/core/membership/entry.py
@@ -1,4 +1,4 @@
-"""What is known of one daemon and the backend server beside it."""
+"""Membership entry of one daemon and the backend server next to it."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -9,7 +9,7 @@
 
 
 class Status(IntEnum):
-    """How a daemon stands; of one version, the greater value wins."""
+    """Status of a daemon; at the same version, the greater value takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -19,12 +19,12 @@
 @dataclass(frozen=True, slots=True)
 class MemberEntry:
     """
-    One fact about one daemon.
+    State of one daemon, as announced by itself or concluded by another member.
 
-    `incarnation` grows with each process that takes the instance's place,
-    `version` with each change that the process itself makes known. `gossip` is
-    where it listens for datagrams. `load` is the reported share of slots in use;
-    it is no part of the fact and only goes from a daemon to its direct peers.
+    `incarnation` increases with each process that replaces the instance, `version`
+    with each change that the process itself announces. `gossip` is the address for
+    its datagrams. `load` is the reported fraction of slots in use; it does not
+    affect the precedence and is only sent by the daemon itself to direct peers.
     """
 
     instance: str
@@ -40,18 +40,18 @@
     load: float = 0.0
 
     @property
-    def fact(self) -> tuple[int, int, int]:
-        """Return what orders the facts about one instance."""
+    def precedence(self) -> tuple[int, int, int]:
+        """Return the sort key by which the newest entry of an instance is chosen."""
         return (self.incarnation, self.version, int(self.status))
 
     @property
     def live(self) -> bool:
-        """Tell whether the daemon is not known to be dead."""
+        """Return whether the daemon is not known to be dead."""
         return self.status is not Status.DEAD
 
     @property
     def size_bytes(self) -> int:
-        """Estimate the encoded size from above."""
+        """Return an upper estimate of the encoded size."""
         names = self.instance + self.failure_domain + self.pool
         hosts = self.address.host + self.gossip.host
         return ENTRY_OVERHEAD_BYTES + len(names.encode()) + len(hosts)
--- a/damaskbay/core/membership/exchange.py
+++ b/damaskbay/core/membership/exchange.py
@@ -1,4 +1,4 @@
-"""Exchange of servers between failure domains: whom to ask, tell and answer."""
+"""Exchange of server samples between failure domains."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -19,24 +19,28 @@
 
 @dataclass(slots=True)
 class _Subscriber:
-    ask: AskServers
-    told: int
-    ends_at: float
+    request: AskServers
+    sent_revision: int
+    expires_at: float
 
 
 @dataclass(slots=True)
-class _Source:
-    """What the last answer of one domain, or of the own delegates, was."""
+class _LastReply:
+    """
+    Last reply of one domain, or of a delegate of the local domain.
+
+    `failed_contacts` counts failed requests; each one moves on to the next contact.
+    """
 
     source: str = ""
     revision: int = 0
-    heard_at: float = float("-inf")
-    turn: int = 0
+    replied_at: float = float("-inf")
+    failed_contacts: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """A question to send; `domain` is that of the daemon at `address`."""
+    """A request to send; `domain` is that of the daemon at `address`."""
 
     domain: str
     address: PeerAddress
@@ -44,8 +48,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Telling:
-    """News to send."""
+class ServersUpdate:
+    """Changed servers to send to a subscriber."""
 
     address: PeerAddress
     servers: Servers
@@ -53,10 +57,11 @@
 
 class Exchange:
     """
-    One daemon's part in it.
+    Requests, replies and subscriptions of one daemon for server samples.
 
-    `own_servers` returns the entries of a pool in the own failure domain; `own`
-    names the process. Every daemon can answer; only delegates ask other domains.
+    `own_servers` returns the entries of a pool in the local failure domain; `own` is
+    the entry of this process. Every daemon replies to requests, but only delegates
+    send requests to other domains.
     """
 
     def __init__(
@@ -71,114 +76,116 @@
         self.remote = RemoteServers()
         self.own_revisions = PoolRevisions()
         self._own = own
-        self._source = f"{own.instance}/{own.incarnation}"
+        self._source_id = f"{own.instance}/{own.incarnation}"
         self._own_servers = own_servers
         self._order = order
         self._book = book
         self._options = options
         self._rng = rng
-        self._next_ask = 0.0
+        self._next_request_at = 0.0
         self._wanted_until_by_pool: dict[str, float] = {}
-        self._source_by_domain: dict[str, _Source] = {}
+        self._last_reply_by_domain: dict[str, _LastReply] = {}
         self._subscriber_by_address: dict[PeerAddress, _Subscriber] = {}
 
     def want(self, pools: Iterable[str], now: float) -> None:
-        """Take note of the pools that calls go to."""
+        """Record the pools that calls go to."""
         for pool in pools:
             if pool not in self._wanted_until_by_pool:
-                self._next_ask = now
-                self._make_room()
+                self._next_request_at = now
+                self._evict_wanted_pool()
                 if not self._order.leads:
-                    self._source_by_domain.pop(self._own.failure_domain, None)
-            self._wanted_until_by_pool[pool] = now + self._options.wanted_s
+                    self._last_reply_by_domain.pop(self._own.failure_domain, None)
+            self._wanted_until_by_pool[pool] = now + self._options.wanted_pool_s
 
     def questions(self, now: float) -> list[Question]:
-        """Return what to ask now; none between two periods."""
-        if now < self._next_ask:
+        """Return the requests that are due; none between two periods."""
+        if now < self._next_request_at:
             return []
         jitter = self._rng.uniform(0.8, 1.2)
         options, leads = self._options, self._order.leads
         period_s = options.summary_period_s if leads else options.question_period_s
-        self._next_ask = now + period_s * jitter
+        self._next_request_at = now + period_s * jitter
         if leads:
-            return self._ask_domains()
-        return self._ask_delegate(now)
+            return self._requests_to_domains()
+        return self._requests_to_delegate(now)
 
     def answer(self, ask: AskServers, now: float) -> Servers:
-        """Answer a question and remember to tell of changes."""
+        """Reply to a request and subscribe its sender to changes."""
         revisions = self._revisions_for(ask)
-        since = ask.since if ask.source == self._source else 0
-        known = self._subscriber_by_address
-        if ask.address in known or len(known) < MAX_SUBSCRIBERS:
-            ends_at = now + self._options.subscription_s
-            known[ask.address] = _Subscriber(ask, revisions.revision, ends_at)
-        return self._servers(ask, since)
-
-    def tellings(self, now: float) -> list[Telling]:
-        """Return the news for those who asked before."""
-        tellings = []
+        since = ask.since if ask.source == self._source_id else 0
+        subscribers = self._subscriber_by_address
+        if ask.address in subscribers or len(subscribers) < MAX_SUBSCRIBERS:
+            expires_at = now + self._options.subscription_s
+            subscribers[ask.address] = _Subscriber(ask, revisions.revision, expires_at)
+        return self._servers_since(ask, since)
+
+    def tellings(self, now: float) -> list[ServersUpdate]:
+        """Return the changes since the last message to each subscriber."""
+        updates = []
         for address, subscriber in list(self._subscriber_by_address.items()):
-            if now >= subscriber.ends_at:
+            if now >= subscriber.expires_at:
                 del self._subscriber_by_address[address]
                 continue
-            revision = self._revisions_for(subscriber.ask).revision
-            if revision == subscriber.told:
+            revision = self._revisions_for(subscriber.request).revision
+            if revision == subscriber.sent_revision:
                 continue
-            servers = self._servers(subscriber.ask, subscriber.told)
-            subscriber.told = revision
+            servers = self._servers_since(subscriber.request, subscriber.sent_revision)
+            subscriber.sent_revision = revision
             if servers.pools:
-                tellings.append(Telling(address, servers))
-        return tellings
+                updates.append(ServersUpdate(address, servers))
+        return updates
 
     def take(self, servers: Servers, now: float, *, answered: bool) -> tuple[str, ...]:
         """
-        Take an answer or news; return the pools that changed.
+        Apply a reply or an unrequested update; return the pools that changed.
 
-        News do not move the revision that the next question names, so that lost
-        ones are told again.
+        An update does not advance the revision of the next request, so that changes
+        of a lost update are sent again.
         """
         entries = unpack_entries(servers.entries)
         if entries is None:
             return ()
         domain = servers.failure_domain or self._own.failure_domain
         if answered:
-            source = self._source_by_domain.setdefault(domain, _Source())
-            source.source, source.revision = servers.source, servers.revision
-            source.heard_at = now
+            reply = self._last_reply_by_domain.setdefault(domain, _LastReply())
+            reply.source, reply.revision = servers.source, servers.revision
+            reply.replied_at = now
         if servers.failure_domain:
             complete = servers.complete
             return self.remote.put(domain, servers.pools, entries, complete=complete)
-        return self._take_of_several(servers.pools, entries)
+        return self._apply_delegate_servers(servers.pools, entries)
 
     def lost(self, domain: str, now: float) -> None:
-        """Ask another daemon of a domain soon."""
-        self._source_by_domain.setdefault(domain, _Source()).turn += 1
-        soon = now + self._options.summary_period_s
-        self._next_ask = min(self._next_ask, soon)
+        """Switch to another contact of a domain after a request failed."""
+        self._last_reply_by_domain.setdefault(domain, _LastReply()).failed_contacts += 1
+        retry_at = now + self._options.summary_period_s
+        self._next_request_at = min(self._next_request_at, retry_at)
 
     def drop_silent(self, now: float) -> tuple[str, ...]:
-        """Forget the servers of domains that are silent; return what changed."""
+        """Remove the servers of unresponsive domains; return the pools that changed."""
         if not self._order.leads:
             return ()
         changed: tuple[str, ...] = ()
         for domain in self.remote.domains():
-            source = self._source_by_domain.setdefault(domain, _Source(heard_at=now))
-            if now - source.heard_at >= self._options.domain_lost_s:
+            reply = self._last_reply_by_domain.setdefault(
+                domain, _LastReply(replied_at=now)
+            )
+            if now - reply.replied_at >= self._options.domain_timeout_s:
                 changed += self.remote.drop(domain)
-                del self._source_by_domain[domain]
+                del self._last_reply_by_domain[domain]
         return changed
 
-    def _ask_domains(self) -> list[Question]:
-        """Ask one contact of each other domain for all its pools."""
+    def _requests_to_domains(self) -> list[Question]:
+        """Return requests to one contact of each other domain for all its pools."""
         by_domain = self._book.addresses_by_domain
         return [
-            self._question(domain, addresses, ())
+            self._request_to(domain, addresses, ())
             for domain, addresses in by_domain.items()
             if domain != self._own.failure_domain
         ]
 
-    def _ask_delegate(self, now: float) -> list[Question]:
-        """Ask a delegate of the own domain for the pools needed here."""
+    def _requests_to_delegate(self, now: float) -> list[Question]:
+        """Return a request to a local delegate for the pools that this daemon needs."""
         by_pool = self._wanted_until_by_pool
         for pool in [pool for pool, until in by_pool.items() if until <= now]:
             del by_pool[pool]
@@ -186,24 +193,28 @@
         if not by_pool or not addresses:
             return []
         domain = self._own.failure_domain
-        return [self._question(domain, addresses, tuple(by_pool))]
+        return [self._request_to(domain, addresses, tuple(by_pool))]
 
-    def _question(
+    def _request_to(
         self, domain: str, addresses: tuple[PeerAddress, ...], pools: tuple[str, ...]
     ) -> Question:
         own = self._own
-        known = self._source_by_domain.setdefault(domain, _Source())
+        last_reply = self._last_reply_by_domain.setdefault(domain, _LastReply())
         ask = AskServers(
-            own.failure_domain, own.address, pools, known.source, known.revision
+            own.failure_domain,
+            own.address,
+            pools,
+            last_reply.source,
+            last_reply.revision,
         )
-        place = (own.address.port + known.turn) % len(addresses)
-        return Question(domain, addresses[place], ask)
+        index = (own.address.port + last_reply.failed_contacts) % len(addresses)
+        return Question(domain, addresses[index], ask)
 
     def _revisions_for(self, ask: AskServers) -> PoolRevisions:
-        own_domain = ask.failure_domain == self._own.failure_domain
-        return self.remote.revisions if own_domain else self.own_revisions
+        is_local = ask.failure_domain == self._own.failure_domain
+        return self.remote.revisions if is_local else self.own_revisions
 
-    def _servers(self, ask: AskServers, since: int) -> Servers:
+    def _servers_since(self, ask: AskServers, since: int) -> Servers:
         revisions = self._revisions_for(ask)
         pools = revisions.since(since, among=ask.pools)
         if ask.failure_domain != self._own.failure_domain:
@@ -217,22 +228,22 @@
             domain = ""
         entries = pack_entries(entry for entries in found for entry in entries)
         revision, complete = revisions.revision, not since
-        return Servers(domain, self._source, revision, pools, entries, complete)
+        return Servers(domain, self._source_id, revision, pools, entries, complete)
 
-    def _take_of_several(
+    def _apply_delegate_servers(
         self, pools: tuple[str, ...], entries: tuple[MemberEntry, ...]
     ) -> tuple[str, ...]:
-        """Take what a delegate knows of all other domains, if it is none itself."""
+        """Apply a local delegate's servers, unless this daemon is a delegate itself."""
         if self._order.leads:
             return ()
         domains = {entry.failure_domain for entry in entries}
         changed: set[str] = set()
         for domain in domains | set(self.remote.domains()):
-            mine = (entry for entry in entries if entry.failure_domain == domain)
-            changed |= set(self.remote.put(domain, pools, mine))
+            of_domain = (entry for entry in entries if entry.failure_domain == domain)
+            changed |= set(self.remote.put(domain, pools, of_domain))
         return tuple(changed)
 
-    def _make_room(self) -> None:
+    def _evict_wanted_pool(self) -> None:
         by_pool = self._wanted_until_by_pool
         if len(by_pool) >= MAX_WANTED_POOLS:
             del by_pool[min(by_pool, key=by_pool.__getitem__)]
--- a/damaskbay/core/membership/options.py
+++ b/damaskbay/core/membership/options.py
@@ -1,4 +1,4 @@
-"""Times and sizes of the membership protocol."""
+"""Timing and size options of the membership protocol."""
 
 from dataclasses import dataclass
 
@@ -8,17 +8,19 @@
     """
     Times in seconds, sizes in bytes.
 
-    A daemon sends one probe each `probe_period_s`; a probe without an answer for
-    `direct_timeout_s` goes through `indirect_probes` others, and makes its target
-    suspect after `probe_timeout_s`. A suspect is dead after `suspicion_s`. News
-    go at once to `rumor_fanout` members within `rumor_bytes_per_s`, and ride on
-    probes `retransmit_factor` times the binary logarithm of the members.
+    A daemon sends one probe every `probe_period_s`. After `direct_timeout_s` without
+    an ack, it is also sent through `indirect_probes` other members; after
+    `probe_timeout_s` its target becomes suspect, and dead after `suspicion_s` more.
+    Updates are sent at once to `rumor_fanout` members within `rumor_bytes_per_s`,
+    and are also piggybacked on probes: `retransmit_factor` times the binary
+    logarithm of the number of members.
 
-    `delegates` daemons of a failure domain speak for it. They keep their addresses
-    in the platform under `contact_lease_s`, read all of them every
-    `contact_period_s`, ask the other domains every `summary_period_s` and tell
-    changes at once to who asked in the last `subscription_s`; others ask them every
-    `question_period_s`. A domain that is silent for `domain_lost_s` is left out.
+    `delegates` daemons represent a failure domain. They store their addresses in the
+    platform with a lease of `contact_lease_s` and read all contacts every
+    `contact_period_s`. They send requests to the other domains every
+    `summary_period_s`, and send changes at once to the daemons whose last request is
+    at most `subscription_s` old. Other daemons send requests to the delegates every
+    `question_period_s`. An unresponsive domain is removed after `domain_timeout_s`.
     """
 
     probe_period_s: float = 1.0
@@ -31,10 +33,10 @@
     rumor_bytes_per_s: float = 6_000.0
     rumor_burst_bytes: float = 24_000.0
     retransmit_factor: int = 3
-    updates_bytes: int = 900
+    max_updates_bytes: int = 900
     sync_period_s: float = 10.0
     reconnect_period_s: float = 5.0
-    pause_s: float = 2.0
+    pause_detection_s: float = 2.0
     tombstone_s: float = 3_600.0
     delegates: int = 3
     contact_period_s: float = 20.0
@@ -43,5 +45,5 @@
     summary_period_s: float = 4.0
     question_period_s: float = 12.0
     subscription_s: float = 40.0
-    domain_lost_s: float = 30.0
-    wanted_s: float = 120.0
+    domain_timeout_s: float = 30.0
+    wanted_pool_s: float = 120.0
--- a/damaskbay/core/membership/packets.py
+++ b/damaskbay/core/membership/packets.py
@@ -1,4 +1,4 @@
-"""Datagrams that the members of a failure domain send each other."""
+"""Datagrams between the members of a failure domain."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Ask for an `Ack` with the same probe number."""
+    """Request for an `Ack` with the same probe number."""
 
     sender: MemberEntry
     probe: int
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IndirectPing:
-    """Ask the receiver to probe `target` and to pass the `Ack` on."""
+    """Request to probe `target` and to forward its `Ack`."""
 
     sender: MemberEntry
     probe: int
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """Answer a probe; one that was passed on has the target's entry first."""
+    """Reply to a probe; in a forwarded one, the target's entry is the first update."""
 
     sender: MemberEntry
     probe: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rumor:
-    """Tell news at once; no answer is expected."""
+    """Updates sent at once, without a reply."""
 
     sender: MemberEntry
     updates: tuple[MemberEntry, ...] = ()
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outgoing:
-    """A datagram to send."""
+    """A datagram to send and its destination."""
 
     address: PeerAddress
     packet: Packet
--- a/damaskbay/core/membership/probes.py
+++ b/damaskbay/core/membership/probes.py
@@ -1,4 +1,4 @@
-"""Probes that wait for an answer, for this member and for others."""
+"""Probes that wait for an ack, sent for this member and for others."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,13 +7,13 @@
 from damaskbay.core.membership.entry import MemberEntry
 from damaskbay.ports.peer import PeerAddress
 
-_RELAY_S = 2.0
-_MAX_RELAYS = 1_000
+_RELAYED_PROBE_TIMEOUT_S = 2.0
+_MAX_RELAYED_PROBES = 1_000
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe of one process. `sent_at` in seconds."""
+    """A probe of one process; `sent_at` is in seconds."""
 
     number: int
     instance: str
@@ -24,64 +24,64 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Relay:
-    """A probe sent for another member."""
+class RelayedProbe:
+    """A probe sent on behalf of another member."""
 
     requester: PeerAddress
     probe: int
     sent_at: float
 
 
-class ProbeBook:
-    """Numbers probes, remembers open ones and picks whom to probe next."""
+class ProbeTracker:
+    """Open probes by number, and the choice of the next probe target."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
         self._number = rng.getrandbits(32)
         self._by_number: dict[int, Probe] = {}
-        self._relays_by_number: dict[int, Relay] = {}
-        self._round: list[MemberEntry] = []
+        self._relayed_by_number: dict[int, RelayedProbe] = {}
+        self._remaining_targets: list[MemberEntry] = []
 
     def next_target(
         self, members: Callable[[], list[MemberEntry]]
     ) -> MemberEntry | None:
-        """Return the next member of a shuffled round, None where there is none."""
-        if not self._round:
-            self._round = members()
-            self._rng.shuffle(self._round)
-        return self._round.pop() if self._round else None
+        """Return the next member of a shuffled round, or None without other members."""
+        if not self._remaining_targets:
+            self._remaining_targets = members()
+            self._rng.shuffle(self._remaining_targets)
+        return self._remaining_targets.pop() if self._remaining_targets else None
 
     def start(self, entry: MemberEntry, now: float) -> int:
-        """Open a probe and return its number."""
-        number = self.untracked()
+        """Record a new probe and return its number."""
+        number = self.untracked_number()
         self._by_number[number] = Probe(
             number, entry.instance, entry.incarnation, entry.gossip, now
         )
         return number
 
-    def untracked(self) -> int:
-        """Return a number for a probe whose failure tells nothing."""
+    def untracked_number(self) -> int:
+        """Return a number for a probe whose timeout is ignored."""
         self._number += 1
         return self._number
 
-    def relay(self, requester: PeerAddress, probe: int, now: float) -> int:
-        """Open a probe for another member and return its number."""
-        self._drop_old_relays(now)
-        number = self.untracked()
-        if len(self._relays_by_number) < _MAX_RELAYS:
-            self._relays_by_number[number] = Relay(requester, probe, now)
+    def start_relayed(self, requester: PeerAddress, probe: int, now: float) -> int:
+        """Record a probe sent for another member and return its number."""
+        self._drop_expired_relayed(now)
+        number = self.untracked_number()
+        if len(self._relayed_by_number) < _MAX_RELAYED_PROBES:
+            self._relayed_by_number[number] = RelayedProbe(requester, probe, now)
         return number
 
-    def acknowledged(self, number: int) -> None:
-        """Close a probe that was answered."""
+    def remove(self, number: int) -> None:
+        """Remove a probe that was acknowledged."""
         self._by_number.pop(number, None)
 
-    def take_relay(self, number: int) -> Relay | None:
-        """Return for whom a probe was sent, once."""
-        return self._relays_by_number.pop(number, None)
+    def take_relayed(self, number: int) -> RelayedProbe | None:
+        """Remove and return a relayed probe, or None if there is none."""
+        return self._relayed_by_number.pop(number, None)
 
-    def due_indirect(self, now: float, timeout_s: float) -> list[Probe]:
-        """Return the probes to be sent through others, each once."""
+    def take_due_indirect(self, now: float, timeout_s: float) -> list[Probe]:
+        """Return probes to send through other members now; each is returned once."""
         due = [
             item
             for item in self._by_number.values()
@@ -91,25 +91,25 @@
             item.indirect = True
         return due
 
-    def expired(self, now: float, timeout_s: float) -> list[Probe]:
-        """Close and return the probes that brought no answer in time."""
-        late = [
+    def take_expired(self, now: float, timeout_s: float) -> list[Probe]:
+        """Remove and return the probes without an ack in time."""
+        overdue = [
             item for item in self._by_number.values() if now - item.sent_at >= timeout_s
         ]
-        for item in late:
+        for item in overdue:
             del self._by_number[item.number]
-        return late
+        return overdue
 
     def clear(self) -> None:
-        """Forget all open probes."""
+        """Remove all open probes."""
         self._by_number.clear()
-        self._relays_by_number.clear()
+        self._relayed_by_number.clear()
 
-    def _drop_old_relays(self, now: float) -> None:
-        late = [
+    def _drop_expired_relayed(self, now: float) -> None:
+        overdue = [
             number
-            for number, item in self._relays_by_number.items()
-            if now - item.sent_at >= _RELAY_S
+            for number, item in self._relayed_by_number.items()
+            if now - item.sent_at >= _RELAYED_PROBE_TIMEOUT_S
         ]
-        for number in late:
-            del self._relays_by_number[number]
+        for number in overdue:
+            del self._relayed_by_number[number]
--- a/damaskbay/core/membership/swim.py
+++ b/damaskbay/core/membership/swim.py
@@ -1,4 +1,4 @@
-"""The state machine of one member: probes, suspicion, refutation, news."""
+"""SWIM state machine of one member: probes, suspicion, refutation, updates."""
 
 import math
 from collections.abc import Iterable
@@ -15,24 +15,24 @@
     Ping,
     Rumor,
 )
-from damaskbay.core.membership.probes import Probe, ProbeBook
+from damaskbay.core.membership.probes import Probe, ProbeTracker
 from damaskbay.core.membership.suspicions import Suspicions
 from damaskbay.core.membership.table import MemberTable
 from damaskbay.core.membership.updates import UpdateQueue
 from damaskbay.ports.fleet import ServerState
 from damaskbay.ports.peer import PeerAddress
 
-_DOUBTED_PER_TICK = 20
+_DISPUTED_PINGS_PER_TICK = 20
 _SYNC_RETRY_S = 1.0
 
 
 class Swim:
     """
-    One member's view of its failure domain.
+    View of one member of its failure domain.
 
     Call `tick` often (about every 0.1 s) and `receive` for each datagram; both
-    return the datagrams to send. `table` holds the entries, `displaced` tells
-    that a newer process has taken this instance's name.
+    return the datagrams to send. `table` holds the entries. `displaced` is True when
+    a newer process uses the instance name of this one.
     """
 
     def __init__(
@@ -41,57 +41,57 @@
         self.own = own
         self.table = MemberTable(own.failure_domain)
         self.displaced = False
-        self.wants_sync = True
+        self.sync_needed = True
         self._options = options
         self._rng = rng
         self._updates = UpdateQueue()
-        self._probes = ProbeBook(rng)
+        self._probes = ProbeTracker(rng)
         self._suspicions = Suspicions(options.suspicion_s)
         self._avoided_until_by_instance: dict[str, float] = {}
         self._seeds: tuple[PeerAddress, ...] = ()
-        self._doubted: list[MemberEntry] = []
-        self._last_heard = now
+        self._disputed: list[MemberEntry] = []
+        self._last_receipt = now
         self._last_tick = now
         self._next_probe = now
         self._next_reconnect = now
         self._next_sync = now
-        self._rumor_bytes = options.rumor_burst_bytes
-        self._learn([own], now)
+        self._rumor_budget_bytes = options.rumor_burst_bytes
+        self._merge_entries([own], now)
 
     def set_seeds(self, seeds: Iterable[PeerAddress]) -> None:
-        """Set the gossip addresses to try when nobody or not all are known."""
-        before = self._seeds
+        """Set gossip addresses to contact while they are not among the live members."""
+        previous = self._seeds
         self._seeds = tuple(seed for seed in seeds if seed != self.own.gossip)
-        if set(self._seeds) - set(before):
+        if set(self._seeds) - set(previous):
             self._next_reconnect = self._last_tick
 
     def announce(
         self, *, pool: str, state: ServerState, slots: int, load: float, now: float
     ) -> list[Outgoing]:
-        """Take what the local backend server says; tell a change at once."""
+        """Update the state of the local backend server; send a change at once."""
         own = self.own
         if (pool, state, slots) == (own.pool, own.state, own.slots):
             self.own = replace(own, load=load)
-            self.table.hint_load(self.own)
+            self.table.update_load(self.own)
             return []
         version = own.version + 1
         self.own = replace(
             own, version=version, pool=pool, state=state, slots=slots, load=load
         )
-        self._learn([self.own], now)
-        return self._tell(())
+        self._merge_entries([self.own], now)
+        return self._rumors_with(())
 
     def leave(self, now: float) -> list[Outgoing]:
-        """Tell that this daemon goes."""
+        """Announce that this daemon stops."""
         version = self.own.version + 1
         self.own = replace(
             self.own, version=version, status=Status.DEAD, state=ServerState.GONE
         )
-        self._learn([self.own], now)
-        return self._tell(())
+        self._merge_entries([self.own], now)
+        return self._rumors_with(())
 
     def suspect(self, instance: str, incarnation: int, now: float) -> list[Outgoing]:
-        """Avoid a member that a call failed on, and probe it at once."""
+        """Avoid a member after a failed call, and probe it at once."""
         record = self.table.by_instance.get(instance)
         if record is None or record.entry.incarnation != incarnation:
             return []
@@ -102,40 +102,40 @@
         return [self._probe(record.entry, now)]
 
     def avoided(self, instance: str) -> bool:
-        """Tell whether a member gets no new work though it may live."""
+        """Return whether a member gets no new calls although it may be alive."""
         record = self.table.by_instance.get(instance)
         if record is None or record.entry.status is not Status.ALIVE:
             return True
         return instance in self._avoided_until_by_instance
 
     def merge(self, entries: Iterable[MemberEntry], now: float) -> None:
-        """Take the entries of another member's table."""
+        """Merge entries of another member's table."""
         entries = tuple(entries)
-        self._learn(entries, now)
-        self._doubted += [item for item in entries if self._is_doubted(item)]
+        self._merge_entries(entries, now)
+        self._disputed += [item for item in entries if self._is_disputed(item)]
 
     def sync_target(self, now: float) -> MemberEntry | None:
-        """Return the member to compare tables with when that is due."""
-        if now < self._next_sync and not self.wants_sync:
+        """Return the member to synchronize tables with, or None if no sync is due."""
+        if now < self._next_sync and not self.sync_needed:
             return None
-        others = self._others()
-        if not others:
+        peers = self._live_peers()
+        if not peers:
             return None
-        self.wants_sync = False
+        self.sync_needed = False
         self._next_sync = now + self._options.sync_period_s
-        return self._rng.choice(others)
+        return self._rng.choice(peers)
 
     def sync_failed(self, now: float) -> None:
-        """Compare tables with another member soon."""
+        """Schedule a retry with another member after a table sync failed."""
         self._next_sync = now + _SYNC_RETRY_S
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Do what is due."""
+        """Run all due timers; return the datagrams to send."""
         elapsed_s = now - self._last_tick
         self._last_tick = now
-        if elapsed_s >= self._options.pause_s:
-            self._wake_up()
-        self._refill(elapsed_s)
+        if elapsed_s >= self._options.pause_detection_s:
+            self._reset_after_pause()
+        self._refill_rumor_budget(elapsed_s)
         outgoing = self._advance_probes(now)
         self._end_suspicions(now)
         self._end_avoidance(now)
@@ -146,116 +146,121 @@
             self._next_reconnect = now + self._options.reconnect_period_s
             self.table.purge(now, tombstone_s=self._options.tombstone_s)
             outgoing += self._reconnect()
-        outgoing += self._ask_doubted()
-        return outgoing + self._rumors()
+        outgoing += self._ping_disputed()
+        return outgoing + self._send_rumors()
 
     def receive(self, packet: Packet, now: float) -> list[Outgoing]:
-        """Take one datagram."""
+        """Handle one datagram; return the datagrams to send."""
         sender = packet.sender
         if sender.failure_domain != self.own.failure_domain:
             return []
-        self._hear(now)
-        self._learn([sender, *packet.updates], now)
-        self.table.hint_load(sender)
+        self._record_receipt(now)
+        self._merge_entries([sender, *packet.updates], now)
+        self.table.update_load(sender)
         match packet:
             case Ping():
-                return [self._ack(sender, sender.gossip, packet.probe)]
+                return [self._make_ack(sender, sender.gossip, packet.probe)]
             case IndirectPing():
-                probe = self._probes.relay(sender.gossip, packet.probe, now)
-                return [Outgoing(packet.target, Ping(self.own, probe, self._news()))]
+                probe = self._probes.start_relayed(sender.gossip, packet.probe, now)
+                return [
+                    Outgoing(
+                        packet.target,
+                        Ping(self.own, probe, self._piggybacked_updates()),
+                    )
+                ]
             case Ack():
-                return self._acknowledged(packet)
+                return self._handle_ack(packet)
             case Rumor():
                 return []
 
-    def _ack(self, sender: MemberEntry, to: PeerAddress, probe: int) -> Outgoing:
-        """Answer a probe; tell the sender if another fact about it is held."""
-        held = self.table.by_instance.get(sender.instance)
-        news = self._news()
-        if held is not None and held.entry.fact > sender.fact:
-            news = (held.entry, *news)
-        return Outgoing(to, Ack(self.own, probe, news))
-
-    def _acknowledged(self, packet: Ack) -> list[Outgoing]:
-        self._probes.acknowledged(packet.probe)
-        relay = self._probes.take_relay(packet.probe)
-        if relay is None:
+    def _make_ack(self, sender: MemberEntry, to: PeerAddress, probe: int) -> Outgoing:
+        """Return the ack of a probe, with a newer entry about the sender if known."""
+        known = self.table.by_instance.get(sender.instance)
+        updates = self._piggybacked_updates()
+        if known is not None and known.entry.precedence > sender.precedence:
+            updates = (known.entry, *updates)
+        return Outgoing(to, Ack(self.own, probe, updates))
+
+    def _handle_ack(self, packet: Ack) -> list[Outgoing]:
+        self._probes.remove(packet.probe)
+        relayed = self._probes.take_relayed(packet.probe)
+        if relayed is None:
             return []
-        answer = Ack(self.own, relay.probe, (packet.sender,))
-        return [Outgoing(relay.requester, answer)]
+        forwarded = Ack(self.own, relayed.probe, (packet.sender,))
+        return [Outgoing(relayed.requester, forwarded)]
 
-    def _learn(self, entries: Iterable[MemberEntry], now: float) -> None:
+    def _merge_entries(self, entries: Iterable[MemberEntry], now: float) -> None:
         for entry in entries:
             if entry.instance == self.own.instance and entry is not self.own:
-                self._learn_of_own(entry, now)
+                self._merge_own_entry(entry, now)
                 continue
-            self._apply(entry, now)
-
-    def _apply(self, entry: MemberEntry, now: float) -> None:
-        before = self.table.by_instance.get(entry.instance)
-        returned = before is not None and entry.live and not before.entry.live
-        for news in self.table.apply(entry, now):
-            self._take_news(news, now)
-            self.wants_sync = self.wants_sync or returned
-
-    def _hear(self, now: float) -> None:
-        """Take back what was only concluded from hearing nobody at all."""
-        self._last_heard = now
-        for before in self._suspicions.take_unheard():
-            held = self.table.by_instance[before.instance].entry
-            if held.fact[:2] == before.fact[:2]:
-                self.table.restore(before, now)
-                self._suspicions.end(before.instance)
-                self.wants_sync = True
-
-    def _is_doubted(self, entry: MemberEntry) -> bool:
-        """Tell whether another member holds for alive whom this one holds dead."""
+            self._apply_entry(entry, now)
+
+    def _apply_entry(self, entry: MemberEntry, now: float) -> None:
+        previous = self.table.by_instance.get(entry.instance)
+        revived = previous is not None and entry.live and not previous.entry.live
+        for changed in self.table.apply(entry, now):
+            self._record_update(changed, now)
+            self.sync_needed = self.sync_needed or revived
+
+    def _record_receipt(self, now: float) -> None:
+        """Record the receipt of a datagram; undo provisional conclusions."""
+        self._last_receipt = now
+        for previous in self._suspicions.take_provisional():
+            known = self.table.by_instance[previous.instance].entry
+            if known.precedence[:2] == previous.precedence[:2]:
+                self.table.restore(previous, now)
+                self._suspicions.end(previous.instance)
+                self.sync_needed = True
+
+    def _is_disputed(self, entry: MemberEntry) -> bool:
+        """Return whether this member considers the process of a live entry dead."""
         record = self.table.by_instance.get(entry.instance)
         if record is None or not entry.live or record.entry.live:
             return False
         return record.entry.incarnation == entry.incarnation
 
-    def _ask_doubted(self) -> list[Outgoing]:
-        """Let those held dead refute it themselves, without telling others."""
-        asked = self._doubted[:_DOUBTED_PER_TICK]
-        del self._doubted[:_DOUBTED_PER_TICK]
-        return [self._ask(entry) for entry in asked]
+    def _ping_disputed(self) -> list[Outgoing]:
+        """Ping members with a disputed death, so that they can refute it themselves."""
+        disputed = self._disputed[:_DISPUTED_PINGS_PER_TICK]
+        del self._disputed[:_DISPUTED_PINGS_PER_TICK]
+        return [self._ping_dead_member(entry) for entry in disputed]
 
-    def _ask(self, entry: MemberEntry) -> Outgoing:
-        held = self.table.by_instance[entry.instance].entry
-        ping = Ping(self.own, self._probes.untracked(), (held,))
-        return Outgoing(held.gossip, ping)
+    def _ping_dead_member(self, entry: MemberEntry) -> Outgoing:
+        known = self.table.by_instance[entry.instance].entry
+        ping = Ping(self.own, self._probes.untracked_number(), (known,))
+        return Outgoing(known.gossip, ping)
 
-    def _learn_of_own(self, entry: MemberEntry, now: float) -> None:
+    def _merge_own_entry(self, entry: MemberEntry, now: float) -> None:
         if entry.incarnation > self.own.incarnation:
             self.displaced = True
-            self._apply(entry, now)
+            self._apply_entry(entry, now)
             return
         if self.displaced or entry.incarnation < self.own.incarnation:
             return
-        if entry.fact > self.own.fact:
+        if entry.precedence > self.own.precedence:
             self.own = replace(self.own, version=entry.version + 1)
-            self._learn([self.own], now)
+            self._merge_entries([self.own], now)
 
-    def _take_news(self, entry: MemberEntry, now: float) -> None:
+    def _record_update(self, entry: MemberEntry, now: float) -> None:
         self._updates.add(entry)
-        self._suspicions.note(entry, now)
+        self._suspicions.update(entry, now)
 
-    def _wake_up(self) -> None:
-        """Trust nothing that was about to be said before a pause."""
+    def _reset_after_pause(self) -> None:
+        """Discard updates, probes and suspicions that are outdated after a pause."""
         self._updates.clear()
         self._updates.add(self.own)
         self._probes.clear()
         self._suspicions.clear()
-        self.wants_sync = True
+        self.sync_needed = True
 
     def _end_suspicions(self, now: float) -> None:
         for suspicion in self._suspicions.take_due(now):
             entry = self.table.by_instance[suspicion.instance].entry
-            if entry.fact != suspicion.fact:
+            if entry.precedence != suspicion.precedence:
                 continue
-            self._learn([replace(entry, status=Status.DEAD)], now)
-            if self._suspicions.is_unheard(suspicion.instance):
+            self._merge_entries([replace(entry, status=Status.DEAD)], now)
+            if self._suspicions.is_provisional(suspicion.instance):
                 self._updates.drop(suspicion.instance)
 
     def _end_avoidance(self, now: float) -> None:
@@ -267,21 +272,25 @@
     def _advance_probes(self, now: float) -> list[Outgoing]:
         outgoing: list[Outgoing] = []
         options = self._options
-        for probe in self._probes.due_indirect(now, options.direct_timeout_s):
+        for probe in self._probes.take_due_indirect(now, options.direct_timeout_s):
             outgoing += self._probe_through_others(probe)
-        for probe in self._probes.expired(now, options.probe_timeout_s):
+        for probe in self._probes.take_expired(now, options.probe_timeout_s):
             self._mark_suspect(probe, now)
         return outgoing
 
     def _probe_through_others(self, probe: Probe) -> list[Outgoing]:
-        others = [item for item in self._others() if item.instance != probe.instance]
-        count = min(self._options.indirect_probes, len(others))
+        helpers = [
+            item for item in self._live_peers() if item.instance != probe.instance
+        ]
+        count = min(self._options.indirect_probes, len(helpers))
         return [
             Outgoing(
                 item.gossip,
-                IndirectPing(self.own, probe.number, probe.address, self._news()),
+                IndirectPing(
+                    self.own, probe.number, probe.address, self._piggybacked_updates()
+                ),
             )
-            for item in self._rng.sample(others, count)
+            for item in self._rng.sample(helpers, count)
         ]
 
     def _mark_suspect(self, probe: Probe, now: float) -> None:
@@ -290,66 +299,72 @@
             return
         if record.entry.status is not Status.ALIVE:
             return
-        self._learn([replace(record.entry, status=Status.SUSPECT)], now)
-        if now - self._last_heard >= self._options.probe_timeout_s:
-            self._suspicions.conclude_unheard(record.entry)
+        self._merge_entries([replace(record.entry, status=Status.SUSPECT)], now)
+        if now - self._last_receipt >= self._options.probe_timeout_s:
+            self._suspicions.record_provisional(record.entry)
             self._updates.drop(probe.instance)
 
     def _probe_next(self, now: float) -> list[Outgoing]:
-        entry = self._probes.next_target(self._others)
+        entry = self._probes.next_target(self._live_peers)
         return [] if entry is None else [self._probe(entry, now)]
 
     def _probe(self, entry: MemberEntry, now: float) -> Outgoing:
         number = self._probes.start(entry, now)
-        return Outgoing(entry.gossip, Ping(self.own, number, self._news()))
+        return Outgoing(
+            entry.gossip, Ping(self.own, number, self._piggybacked_updates())
+        )
 
     def _reconnect(self) -> list[Outgoing]:
-        """Try a crashed member and a seed, so that two halves find each other."""
-        lost = [
+        """Ping a crashed member and a seed, so that two partitions can merge again."""
+        crashed = [
             item.entry
             for item in self.table.by_instance.values()
             if not item.entry.live and item.entry.state is not ServerState.GONE
         ]
         known = {entry.gossip for entry in self.table.live()}
         seeds = [seed for seed in self._seeds if seed not in known]
-        outgoing = [self._ask(self._rng.choice(lost))] if lost else []
+        outgoing = (
+            [self._ping_dead_member(self._rng.choice(crashed))] if crashed else []
+        )
         if seeds:
-            ping = Ping(self.own, self._probes.untracked(), self._news())
+            ping = Ping(
+                self.own, self._probes.untracked_number(), self._piggybacked_updates()
+            )
             outgoing.append(Outgoing(self._rng.choice(seeds), ping))
         return outgoing
 
-    def _rumors(self) -> list[Outgoing]:
-        """Tell fresh news to some members, within the budget for it."""
-        if not self._updates.fresh or self._rumor_bytes <= 0:
+    def _send_rumors(self) -> list[Outgoing]:
+        """Send new updates to some members, within the rumor budget."""
+        if not self._updates.has_unrumored or self._rumor_budget_bytes <= 0:
             return []
-        count = min(self._options.rumor_fanout, len(self._others()))
+        count = min(self._options.rumor_fanout, len(self._live_peers()))
         if not count:
             return []
-        fresh = self._updates.take_fresh(limit_bytes=self._options.updates_bytes)
-        size_bytes = self.own.size_bytes + sum(item.size_bytes for item in fresh)
-        self._rumor_bytes -= count * size_bytes
-        return self._tell(fresh)
-
-    def _tell(self, news: tuple[MemberEntry, ...]) -> list[Outgoing]:
-        """Tell some members; what the sender says of itself is news as well."""
-        others = self._others()
-        count = min(self._options.rumor_fanout, len(others))
-        rumor = Rumor(self.own, news)
-        return [
-            Outgoing(item.gossip, rumor) for item in self._rng.sample(others, count)
-        ]
-
-    def _refill(self, elapsed_s: float) -> None:
-        filled = self._rumor_bytes + elapsed_s * self._options.rumor_bytes_per_s
-        self._rumor_bytes = min(self._options.rumor_burst_bytes, filled)
-
-    def _news(self) -> tuple[MemberEntry, ...]:
+        updates = self._updates.take_unrumored(
+            limit_bytes=self._options.max_updates_bytes
+        )
+        size_bytes = self.own.size_bytes + sum(item.size_bytes for item in updates)
+        self._rumor_budget_bytes -= count * size_bytes
+        return self._rumors_with(updates)
+
+    def _rumors_with(self, updates: tuple[MemberEntry, ...]) -> list[Outgoing]:
+        """Return rumors to random members; they also carry the sender's own entry."""
+        peers = self._live_peers()
+        count = min(self._options.rumor_fanout, len(peers))
+        rumor = Rumor(self.own, updates)
+        return [Outgoing(item.gossip, rumor) for item in self._rng.sample(peers, count)]
+
+    def _refill_rumor_budget(self, elapsed_s: float) -> None:
+        filled = self._rumor_budget_bytes + elapsed_s * self._options.rumor_bytes_per_s
+        self._rumor_budget_bytes = min(self._options.rumor_burst_bytes, filled)
+
+    def _piggybacked_updates(self) -> tuple[MemberEntry, ...]:
         members = len(self.table.by_instance)
         sends = self._options.retransmit_factor * math.ceil(math.log2(members + 1))
         return self._updates.take(
-            limit_bytes=self._options.updates_bytes, limit_sends=sends
+            limit_bytes=self._options.max_updates_bytes, limit_sends=sends
         )
 
-    def _others(self) -> list[MemberEntry]:
+    def _live_peers(self) -> list[MemberEntry]:
         own = self.own.instance
         return [entry for entry in self.table.live() if entry.instance != own]
--- a/damaskbay/core/membership/sync.py
+++ b/damaskbay/core/membership/sync.py
@@ -1,4 +1,4 @@
-"""Messages over peer streams that repair what datagrams lost."""
+"""Messages over peer streams that complete what lost datagrams left out."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 @message("membership.digests")
 @dataclass(frozen=True, slots=True)
 class Digests:
-    """Ask for the entries of all buckets, and the contacts, that differ."""
+    """Request for the entries of all differing buckets, and for differing contacts."""
 
     failure_domain: str
     digests: tuple[bytes, ...]
@@ -19,7 +19,7 @@
 @message("membership.entries")
 @dataclass(frozen=True, slots=True)
 class Entries:
-    """Packed entries of the named buckets, and packed contacts; empty for none."""
+    """Packed entries of the listed buckets, and packed contacts; empty for none."""
 
     buckets: tuple[int, ...]
     entries: bytes
@@ -30,10 +30,11 @@
 @dataclass(frozen=True, slots=True)
 class AskServers:
     """
-    Ask for what changed of other domains' servers, and to be told of changes.
+    Request for changed servers, and subscription to later changes.
 
-    A delegate of another failure domain asks for all pools, a member of the own
-    one for those it needs. `source` and `since` are those of the last answer.
+    A delegate of another failure domain requests all pools, a member of the same
+    domain only those it needs. `source` and `since` are the source and the revision
+    of the last reply.
     """
 
     failure_domain: str
@@ -47,10 +48,10 @@
 @dataclass(frozen=True, slots=True)
 class Servers:
     """
-    The packed entries of the servers that take work, of all the named pools.
+    Packed entries of the servers that accept calls, for all listed pools.
 
-    `failure_domain` is that of the servers, empty where they are of several. With
-    `complete`, a pool that is not named has none.
+    `failure_domain` is that of the servers, empty if they belong to several. With
+    `complete`, a pool that is not listed has no servers.
     """
 
     failure_domain: str
--- a/damaskbay/core/membership/updates.py
+++ b/damaskbay/core/membership/updates.py
@@ -1,4 +1,4 @@
-"""News that still has to be told, each a bounded number of times."""
+"""Queue of entries to send to other members, each a limited number of times."""
 
 from dataclasses import dataclass
 
@@ -13,53 +13,53 @@
 
 
 class UpdateQueue:
-    """Holds the newest entry of each instance until it was told often enough."""
+    """Newest changed entry of each instance, until it was sent often enough."""
 
     def __init__(self) -> None:
         self._by_instance: dict[str, _Pending] = {}
 
     @property
-    def fresh(self) -> bool:
-        """Tell whether there are news that no rumor has told yet."""
+    def has_unrumored(self) -> bool:
+        """Return whether any update was not yet sent in a rumor."""
         return any(not item.rumored for item in self._by_instance.values())
 
     def add(self, entry: MemberEntry) -> None:
-        """Queue news; an older entry of the same instance is dropped."""
+        """Queue an update; it replaces the queued one of the same instance."""
         self._by_instance[entry.instance] = _Pending(entry)
 
     def drop(self, instance: str) -> None:
-        """Drop the news of one instance."""
+        """Remove the update of one instance."""
         self._by_instance.pop(instance, None)
 
     def clear(self) -> None:
-        """Drop all news."""
+        """Remove all updates."""
         self._by_instance.clear()
 
     def take(self, *, limit_bytes: int, limit_sends: int) -> tuple[MemberEntry, ...]:
-        """Return what fits into a datagram, the least told first."""
+        """Return the updates that fit into a datagram, the least often sent first."""
         waiting = sorted(self._by_instance.values(), key=lambda item: item.sends)
-        taken = _fitting(waiting, limit_bytes)
+        taken = _fit_into(waiting, limit_bytes)
         for item in taken:
             item.sends += 1
             if item.sends >= limit_sends:
                 del self._by_instance[item.entry.instance]
         return tuple(item.entry for item in taken)
 
-    def take_fresh(self, *, limit_bytes: int) -> tuple[MemberEntry, ...]:
-        """Return what fits of the news that no rumor has told yet."""
-        fresh = [item for item in self._by_instance.values() if not item.rumored]
-        taken = _fitting(fresh, limit_bytes)
+    def take_unrumored(self, *, limit_bytes: int) -> tuple[MemberEntry, ...]:
+        """Return the fitting updates that were not yet sent in a rumor."""
+        unrumored = [item for item in self._by_instance.values() if not item.rumored]
+        taken = _fit_into(unrumored, limit_bytes)
         for item in taken:
             item.rumored = True
         return tuple(item.entry for item in taken)
 
 
-def _fitting(items: list[_Pending], limit_bytes: int) -> list[_Pending]:
+def _fit_into(items: list[_Pending], limit_bytes: int) -> list[_Pending]:
     taken: list[_Pending] = []
-    left = limit_bytes
+    remaining_bytes = limit_bytes
     for item in items:
-        left -= item.entry.size_bytes
-        if left < 0:
+        remaining_bytes -= item.entry.size_bytes
+        if remaining_bytes < 0:
             break
         taken.append(item)
     return taken
--- a/damaskbay/core/membership/views.py
+++ b/damaskbay/core/membership/views.py
@@ -1,4 +1,4 @@
-"""What callers on other threads read: replaced piece by piece, never changed."""
+"""Immutable views of servers and members, read from other threads."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
@@ -14,7 +14,7 @@
     """
     Servers by pool and by instance, and the live members.
 
-    One thread calls `refresh`; others read the values, each of which is
+    One thread calls `refresh`; other threads may read the values, each of which is
     immutable and replaced as a whole.
     """
 
@@ -22,70 +22,70 @@
         self.by_instance: dict[str, ServerView] = {}
         self.servers_by_pool: dict[str, tuple[ServerView, ...]] = {}
         self.members: tuple[MemberView, ...] = ()
-        self._fact_by_instance: dict[str, tuple[int, int, int]] = {}
+        self._precedence_by_instance: dict[str, tuple[int, int, int]] = {}
         self._members_by_instance: dict[str, MemberView] = {}
         self._instances_by_pool: dict[str, set[str]] = {}
 
     def refresh(self, swim: Swim) -> set[str]:
         """
-        Take over what changed since the last call.
+        Update the views of all instances that changed since the last call.
 
-        Returns the pools where more changed than the load of a server.
+        Returns the pools in which more than the load of a server changed.
         """
         changed = swim.table.take_changed()
         if not changed:
             return set()
         pools: set[str] = set()
-        told: set[str] = set()
+        changed_pools: set[str] = set()
         for instance in changed:
-            touched = self._place(instance, swim)
-            pools |= touched
-            if self._is_news(instance, swim):
-                told |= touched
+            affected = self._update_server(instance, swim)
+            pools |= affected
+            if self._entry_changed(instance, swim):
+                changed_pools |= affected
         for pool in pools:
-            self.servers_by_pool[pool] = self._servers(pool, swim)
+            self.servers_by_pool[pool] = self._usable_servers(pool, swim)
         self._refresh_members(changed, swim)
-        return told
+        return changed_pools
 
     def entries(self, pool: str, swim: Swim) -> tuple[MemberEntry, ...]:
-        """Return the entries of all servers of a pool, whatever their state."""
-        names = self._instances_by_pool.get(pool, set())
-        return tuple(swim.table.by_instance[name].entry for name in names)
+        """Return the entries of all servers of a pool, in any state."""
+        instances = self._instances_by_pool.get(pool, set())
+        return tuple(swim.table.by_instance[instance].entry for instance in instances)
 
-    def _place(self, instance: str, swim: Swim) -> set[str]:
-        """Put one server in its pool; return the pools that this touches."""
-        touched = set()
+    def _update_server(self, instance: str, swim: Swim) -> set[str]:
+        """Update the view and pool of one server; return the affected pools."""
+        affected = set()
         before = self.by_instance.pop(instance, None)
         if before is not None:
             self._instances_by_pool[before.pool].discard(instance)
-            touched.add(before.pool)
+            affected.add(before.pool)
         record = swim.table.by_instance.get(instance)
         if record is None:
-            return touched
+            return affected
         view = view_of(record, local=instance == swim.own.instance)
         self.by_instance[instance] = view
         self._instances_by_pool.setdefault(view.pool, set()).add(instance)
-        touched.add(view.pool)
-        return touched
+        affected.add(view.pool)
+        return affected
 
-    def _is_news(self, instance: str, swim: Swim) -> bool:
+    def _entry_changed(self, instance: str, swim: Swim) -> bool:
         record = swim.table.by_instance.get(instance)
-        fact = None if record is None else record.entry.fact
-        before = self._fact_by_instance.pop(instance, None)
-        if fact is not None:
-            self._fact_by_instance[instance] = fact
-        return fact != before
-
-    def _servers(self, pool: str, swim: Swim) -> tuple[ServerView, ...]:
-        """Return the ready servers; those to be avoided only where all are."""
-        names = sorted(self._instances_by_pool[pool])
+        precedence = None if record is None else record.entry.precedence
+        before = self._precedence_by_instance.pop(instance, None)
+        if precedence is not None:
+            self._precedence_by_instance[instance] = precedence
+        return precedence != before
+
+    def _usable_servers(self, pool: str, swim: Swim) -> tuple[ServerView, ...]:
+        """Return the ready servers; include avoided ones only if all are avoided."""
+        instances = sorted(self._instances_by_pool[pool])
         ready = [
-            self.by_instance[name]
-            for name in names
-            if self.by_instance[name].state is ServerState.READY
+            self.by_instance[instance]
+            for instance in instances
+            if self.by_instance[instance].state is ServerState.READY
         ]
-        trusted = tuple(view for view in ready if not swim.avoided(view.instance))
-        return trusted or tuple(ready)
+        preferred = tuple(view for view in ready if not swim.avoided(view.instance))
+        return preferred or tuple(ready)
 
     def _refresh_members(self, changed: Iterable[str], swim: Swim) -> None:
         before = dict(self._members_by_instance)
@@ -93,14 +93,14 @@
             self._members_by_instance.pop(instance, None)
             record = swim.table.by_instance.get(instance)
             if record is not None and record.entry.live:
-                self._members_by_instance[instance] = _member_of(record)
+                self._members_by_instance[instance] = _member_view(record)
         if before != self._members_by_instance:
-            names = sorted(self._members_by_instance)
-            self.members = tuple(self._members_by_instance[name] for name in names)
+            instances = sorted(self._members_by_instance)
+            self.members = tuple(self._members_by_instance[key] for key in instances)
 
 
 class RemoteViews:
-    """Servers of other failure domains; read and written as `Views` is."""
+    """Servers of other failure domains; same threading rules as `Views`."""
 
     def __init__(self) -> None:
         self.by_instance: dict[str, ServerView] = {}
@@ -108,7 +108,7 @@
         self._avoided_until_by_instance: dict[str, float] = {}
 
     def avoid(self, instance: str, until: float) -> tuple[str, ...]:
-        """Leave a server out for a time; return the pools that this touches."""
+        """Avoid a server until a time; return the affected pools."""
         view = self.by_instance.get(instance)
         if view is None:
             return ()
@@ -116,7 +116,7 @@
         return (view.pool,)
 
     def due(self, now: float) -> tuple[str, ...]:
-        """Return the pools with a server that need not be avoided any longer."""
+        """End expired avoidance; return the pools of those servers."""
         ended = [
             instance
             for instance, until in self._avoided_until_by_instance.items()
@@ -128,27 +128,32 @@
         return tuple(view.pool for view in views if view is not None)
 
     def refresh(self, pools: Iterable[str], remote: RemoteServers, now: float) -> None:
-        """Take over the servers of some pools."""
+        """Update the views of the servers of some pools."""
         for pool in pools:
-            before = {view.instance: view for view in self._known(pool)}
+            before = {view.instance: view for view in self._views_in_pool(pool)}
             records = (Record(entry, now, now) for entry in remote.entries(pool))
-            views = [_kept(before, view_of(record, local=False)) for record in records]
+            views = [
+                _with_known_ready_at(before, view_of(record, local=False))
+                for record in records
+            ]
             for instance in before:
                 self.by_instance.pop(instance, None)
             self.by_instance.update({view.instance: view for view in views})
-            trusted = tuple(
+            preferred = tuple(
                 view
                 for view in views
                 if view.instance not in self._avoided_until_by_instance
             )
-            self.servers_by_pool[pool] = trusted or tuple(views)
+            self.servers_by_pool[pool] = preferred or tuple(views)
 
-    def _known(self, pool: str) -> list[ServerView]:
+    def _views_in_pool(self, pool: str) -> list[ServerView]:
         return [view for view in self.by_instance.values() if view.pool == pool]
 
 
-def _kept(before: Mapping[str, ServerView], view: ServerView) -> ServerView:
-    """Keep since when a server was known to be ready."""
+def _with_known_ready_at(
+    before: Mapping[str, ServerView], view: ServerView
+) -> ServerView:
+    """Return the view with the earlier `ready_at` of the same process, if known."""
     known = before.get(view.instance)
     if known is None or known.incarnation != view.incarnation:
         return view
@@ -156,7 +161,7 @@
 
 
 def view_of(record: Record, *, local: bool) -> ServerView:
-    """Return a record as callers see it; a dead daemon's server is gone."""
+    """Return the view of a record; the server of a dead daemon is gone."""
     entry = record.entry
     return ServerView(
         entry.instance,
@@ -172,7 +177,7 @@
     )
 
 
-def _member_of(record: Record) -> MemberView:
+def _member_view(record: Record) -> MemberView:
     entry = record.entry
     return MemberView(
         entry.instance, entry.incarnation, entry.failure_domain, entry.address
--- a/damaskbay/core/membership/wire.py
+++ b/damaskbay/core/membership/wire.py
@@ -1,4 +1,4 @@
-"""Compact encoding of entries: lists without field names, checked on arrival."""
+"""Compact encoding of entries as lists without field names, validated on receipt."""
 
 from collections.abc import Iterable
 from typing import Annotated, Any
@@ -16,7 +16,7 @@
 _Port = Annotated[int, Field(ge=1, le=65_535)]
 _Count = Annotated[int, Field(ge=0, lt=2**63)]
 _Load = Annotated[float, Field(ge=0, le=1_000, allow_inf_nan=False)]
-_Values = tuple[
+_EntryValues = tuple[
     _Name,
     _Count,
     _Count,
@@ -31,14 +31,14 @@
     _Count,
     _Load,
 ]
-_ADAPTER: TypeAdapter[Any] = TypeAdapter(_Values)
+_ENTRY_ADAPTER: TypeAdapter[Any] = TypeAdapter(_EntryValues)
 _LIST_ADAPTER: TypeAdapter[Any] = TypeAdapter(
-    Annotated[list[_Values], Field(max_length=MAX_MEMBERS)]
+    Annotated[list[_EntryValues], Field(max_length=MAX_MEMBERS)]
 )
 
 
 def entry_values(entry: MemberEntry) -> list[Any]:
-    """Return an entry as a list that msgpack knows."""
+    """Return an entry as a list of values for msgpack."""
     return [
         entry.instance,
         entry.incarnation,
@@ -57,8 +57,8 @@
 
 
 def entry_from(values: Any) -> MemberEntry:
-    """Return the entry of a decoded list; raise ValueError where it is none."""
-    return _entry(_ADAPTER.validate_python(values))
+    """Return the entry of a decoded list; raise ValueError if it is invalid."""
+    return _entry(_ENTRY_ADAPTER.validate_python(values))
 
 
 def pack_entries(entries: Iterable[MemberEntry]) -> bytes:
@@ -67,7 +67,7 @@
 
 
 def unpack_entries(data: bytes) -> tuple[MemberEntry, ...] | None:
-    """Decode entries; None where the bytes are none."""
+    """Decode entries; return None if the bytes are invalid."""
     try:
         rows = _LIST_ADAPTER.validate_python(msgpack.unpackb(data))
     except (ValidationError, ValueError, msgpack.exceptions.UnpackException):
--- a/tests/core/membership/common.py
+++ b/tests/core/membership/common.py
@@ -1,4 +1,4 @@
-"""A network of datagrams in virtual time between members' state machines."""
+"""Simulated datagram network between SWIM state machines, in virtual time."""
 
 import heapq
 from collections import Counter
@@ -20,14 +20,14 @@
 
 
 class Network:
-    """Members by name. `cut` tells whether a datagram between two is lost."""
+    """Members by name; `is_lost` decides whether a datagram is lost."""
 
     def __init__(self, seed: int = 1) -> None:
         self.now = 1_000.0
         self.swim_by_name: dict[str, Swim] = {}
         self.paused: set[str] = set()
         self.sent_bytes: Counter[str] = Counter()
-        self.cut: Callable[[str, str], bool] = lambda _source, _target: False
+        self.is_lost: Callable[[str, str], bool] = lambda _source, _target: False
         self._rng = Random(seed)
         self._name_by_address: dict[PeerAddress, str] = {}
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -41,7 +41,7 @@
         incarnation: int = 1,
         instance: str | None = None,
     ) -> Swim:
-        """Start a member with a ready server of the pool `p`."""
+        """Start a member with a ready server in the pool `p`."""
         address = PeerAddress("127.0.0.1", port)
         own = MemberEntry(
             instance or name,
@@ -74,22 +74,22 @@
         return names
 
     def remove(self, name: str) -> None:
-        """End a member without a word."""
+        """Crash a member, so that it announces nothing."""
         del self.swim_by_name[name]
 
     def send(self, source: str, outgoing: list[Outgoing]) -> None:
-        """Put datagrams of a member on the way."""
+        """Send datagrams of a member with a delay, unless they are lost."""
         for item in outgoing:
             packet = item.packet
             size = packet.sender.size_bytes
             size += sum(entry.size_bytes for entry in packet.updates)
             self.sent_bytes[source] += size
             target = self._name_by_address.get(item.address)
-            if target is not None and not self.cut(source, target):
+            if target is not None and not self.is_lost(source, target):
                 self._at(DELAY_S, partial(self._deliver, target, item))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run all events up to then."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
             self.now, _, step = heapq.heappop(self._events)
@@ -97,10 +97,12 @@
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], *, limit_s: float) -> float:
-        """Let time pass until a condition holds; return the seconds it took."""
+        """Advance the clock until a condition holds; return the seconds it took."""
         start = self.now
         while not condition():
-            assert self.now - start < limit_s, "the condition did not come true"
+            assert self.now - start < limit_s, (
+                "the condition did not become true in time"
+            )
             self.run(TICK_S)
         return self.now - start
 
@@ -122,7 +124,7 @@
             self.send(name, swim.receive(item.packet, self.now))
 
     def _sync(self, name: str, swim: Swim) -> None:
-        """Compare tables as the daemon does over a peer stream."""
+        """Synchronize two tables, as the daemon does over a peer stream."""
         target = swim.sync_target(self.now)
         if target is None:
             return
@@ -130,17 +132,17 @@
         other = self.swim_by_name.get(other_name)
         if other is None or other_name in self.paused:
             return
-        if self.cut(name, other_name) or self.cut(other_name, name):
+        if self.is_lost(name, other_name) or self.is_lost(other_name, name):
             return
         pairs = enumerate(zip(swim.table.digests(), other.table.digests(), strict=True))
         buckets = [index for index, (ours, theirs) in pairs if ours != theirs]
-        from_own = swim.table.in_buckets(buckets)
+        own_entries = swim.table.in_buckets(buckets)
         swim.merge(other.table.in_buckets(buckets), self.now)
-        other.merge(from_own, self.now)
+        other.merge(own_entries, self.now)
 
 
 def pool_of(swim: Swim) -> set[str]:
-    """Return the instances that get new work, as one member sees them."""
+    """Return the instances that get new calls, as seen by one member."""
     views = Views()
     for instance in swim.table.by_instance:
         swim.table.mark_changed(instance)
--- a/tests/core/membership/test_exchange.py
+++ b/tests/core/membership/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of what failure domains tell each other of their servers."""
+"""Tests of the exchange of server samples between failure domains."""
 
 import unittest
 from dataclasses import replace
@@ -21,7 +21,7 @@
 from damaskbay.ports.peer import PeerAddress
 from tests.common import function_suite
 
-ASKER = PeerAddress("127.0.0.2", 1)
+SUBSCRIBER_ADDRESS = PeerAddress("127.0.0.2", 1)
 OPTIONS = MembershipOptions()
 
 
@@ -33,7 +33,7 @@
 
 
 class Domain:
-    """The only daemon, and so a delegate, of a domain with some servers."""
+    """The only daemon, and therefore a delegate, of a domain with some servers."""
 
     def __init__(self, name: str, servers: int) -> None:
         own = _entry(f"{name}-0", name)
@@ -47,60 +47,60 @@
         self.exchange.own_revisions.touch(["p"])
 
 
-def _ask(source: str = "", since: int = 0) -> AskServers:
-    return AskServers("d2", ASKER, (), source, since)
+def _request(source: str = "", since: int = 0) -> AskServers:
+    return AskServers("d2", SUBSCRIBER_ADDRESS, (), source, since)
 
 
 def test_sample_is_bounded_and_differs_by_asker() -> None:
-    """However many servers, few are told, and not the same ones to everybody."""
+    """A reply has a fixed number of servers, different ones for each domain."""
     entries = Domain("d1", 200).exchange
-    first = entries.answer(_ask(), 0)
-    other = entries.answer(replace(_ask(), failure_domain="d3"), 0)
+    first = entries.answer(_request(), 0)
+    other = entries.answer(replace(_request(), failure_domain="d3"), 0)
     assert len(unpack_entries(first.entries) or ()) == SAMPLE_SERVERS
     assert first.entries != other.entries
 
 
 def test_only_changes_are_told() -> None:
-    """Who asked before is told at once, and asked again only of what is new."""
+    """A subscriber gets changes at once, and a later reply has only changed pools."""
     domain = Domain("d1", 3)
-    first = domain.exchange.answer(_ask(), 0)
+    first = domain.exchange.answer(_request(), 0)
     assert first.pools == ("p",)
-    assert not domain.exchange.answer(_ask(first.source, first.revision), 1).pools
+    assert not domain.exchange.answer(_request(first.source, first.revision), 1).pools
     assert not domain.exchange.tellings(1)
     domain.entries.pop()
     domain.exchange.own_revisions.touch(["p"])
-    [telling] = domain.exchange.tellings(2)
-    assert telling.address == ASKER
-    assert len(unpack_entries(telling.servers.entries) or ()) == 2
+    [update] = domain.exchange.tellings(2)
+    assert update.address == SUBSCRIBER_ADDRESS
+    assert len(unpack_entries(update.servers.entries) or ()) == 2
     assert not domain.exchange.tellings(2)
-    again = domain.exchange.answer(_ask(first.source, first.revision), 3)
+    again = domain.exchange.answer(_request(first.source, first.revision), 3)
     assert again.pools == ("p",)
     domain.exchange.own_revisions.touch(["p"])
     assert not domain.exchange.tellings(3 + OPTIONS.subscription_s)
 
 
 def test_complete_answer_leaves_out_what_is_gone() -> None:
-    """A fresh process at the other end tells all, and so what is no more."""
-    asker = Domain("d2", 1)
-    old = Domain("d1", 1).exchange.answer(_ask(), 0)
-    asker.exchange.take(old, 0, answered=True)
-    assert len(asker.exchange.remote.entries("p")) == 1
+    """A complete reply of a restarted process removes the pools that it omits."""
+    subscriber = Domain("d2", 1)
+    old = Domain("d1", 1).exchange.answer(_request(), 0)
+    subscriber.exchange.take(old, 0, answered=True)
+    assert len(subscriber.exchange.remote.entries("p")) == 1
     fresh = replace(old, pools=(), entries=b"\x90", source="d1-9/2")
-    assert asker.exchange.take(fresh, 1, answered=True) == ("p",)
-    assert not asker.exchange.remote.entries("p")
+    assert subscriber.exchange.take(fresh, 1, answered=True) == ("p",)
+    assert not subscriber.exchange.remote.entries("p")
 
 
 def test_silent_domain_is_left_out() -> None:
-    """Servers of a domain that gives no answer for long are not named."""
-    asker = Domain("d2", 1)
-    answer = Domain("d1", 1).exchange.answer(_ask(), 0)
-    asker.exchange.take(answer, 0, answered=True)
-    assert not asker.exchange.drop_silent(OPTIONS.domain_lost_s - 1)
-    assert asker.exchange.drop_silent(OPTIONS.domain_lost_s) == ("p",)
+    """Servers of an unresponsive domain are removed after the domain timeout."""
+    subscriber = Domain("d2", 1)
+    answer = Domain("d1", 1).exchange.answer(_request(), 0)
+    subscriber.exchange.take(answer, 0, answered=True)
+    assert not subscriber.exchange.drop_silent(OPTIONS.domain_timeout_s - 1)
+    assert subscriber.exchange.drop_silent(OPTIONS.domain_timeout_s) == ("p",)
 
 
 def test_delegate_asks_one_contact_of_each_domain() -> None:
-    """A contact that gives no answer is followed by the next one."""
+    """A request after a failed one goes to the next contact."""
     domain = Domain("d1", 1)
     addresses = [PeerAddress("127.0.0.3", port) for port in (1, 2)]
     domain.book.take(
@@ -114,7 +114,7 @@
 
 
 def test_newer_reading_of_contacts_replaces_the_older() -> None:
-    """A failure domain that is no more goes; an older reading changes nothing."""
+    """A domain missing in a newer snapshot is removed; an older snapshot is ignored."""
     book = ContactBook()
     one, other = (PeerAddress("127.0.0.4", port) for port in (1, 2))
     older = [Contact("d2", 0, 6, other, other), Contact("d3", 0, 5, other, other)]
--- a/tests/core/membership/test_swim.py
+++ b/tests/core/membership/test_swim.py
@@ -1,4 +1,4 @@
-"""Failures that the members of a failure domain find and survive."""
+"""Tests of failure detection and recovery among the members of a failure domain."""
 
 import unittest
 from dataclasses import replace
@@ -24,7 +24,7 @@
 
 
 def test_joiner_learns_all_and_is_learned_by_all() -> None:
-    """One seed address is enough to join."""
+    """A new member joins through a single seed address."""
     network = Network()
     names = network.start(40)
     joiner = network.add("new", port=5_000, incarnation=7)
@@ -34,7 +34,7 @@
 
 
 def test_crash_is_avoided_by_all_within_seconds() -> None:
-    """A silent member gets no new work from anyone after some seconds."""
+    """All members avoid an unresponsive one within seconds."""
     network = Network()
     network.start(60)
     network.run(2)
@@ -43,7 +43,7 @@
 
 
 def test_crash_is_avoided_at_once_by_who_reports_it() -> None:
-    """A failed call is enough for its sender."""
+    """The sender of a failed call avoids the target at once."""
     network = Network()
     network.start(10)
     swim = network.swim_by_name["m1"]
@@ -54,7 +54,7 @@
 
 
 def test_report_of_an_older_process_is_ignored() -> None:
-    """A failure of the process before does not count against the new one."""
+    """A failure of the previous process does not affect its replacement."""
     network = Network()
     network.start(3)
     swim = network.swim_by_name["m1"]
@@ -63,7 +63,7 @@
 
 
 def test_avoidance_never_empties_a_pool() -> None:
-    """Where every server is in doubt, all of them stay in use."""
+    """If every server of a pool is avoided, all of them stay in use."""
     network = Network()
     network.start(3)
     swim = network.swim_by_name["m0"]
@@ -74,7 +74,7 @@
 
 
 def test_drain_reaches_all_within_two_seconds() -> None:
-    """A draining server gets no new work from 300 members after 2 s."""
+    """A draining server gets no new calls from 300 members after 2 s."""
     network = Network()
     network.start(300)
     network.run(1)
@@ -87,7 +87,7 @@
 
 
 def test_leaving_needs_no_suspicion() -> None:
-    """A planned stop is known to all within 2 s."""
+    """All members avoid a stopped member within 2 s of its announcement."""
     network = Network()
     network.start(50)
     swim = network.swim_by_name["m5"]
@@ -97,10 +97,10 @@
 
 
 def test_one_way_cut_ejects_nobody() -> None:
-    """Two members that do not hear each other are heard through others."""
+    """Loss in one direction between two members is covered by indirect probes."""
     network = Network()
     names = network.start(12)
-    network.cut = lambda source, target: (source, target) == ("m1", "m2")
+    network.is_lost = lambda source, target: (source, target) == ("m1", "m2")
     for _ in range(200):
         network.run(TICK_S)
         for name in names:
@@ -108,29 +108,29 @@
 
 
 def test_deaf_member_ejects_nobody() -> None:
-    """A member that hears nobody does not make others drop the rest."""
+    """A member that receives nothing does not make others drop live members."""
     network = Network()
     names = network.start(12)
-    network.cut = lambda _source, target: target == "m1"
+    network.is_lost = lambda _source, target: target == "m1"
     hearing = [name for name in names if name != "m1"]
     for _ in range(200):
         network.run(TICK_S)
         for name in hearing:
             seen = pool_of(network.swim_by_name[name]) | {"m1"}
             assert len(seen) == 12
-    network.cut = lambda _source, _target: False
+    network.is_lost = lambda _source, _target: False
     network.run_until(lambda: len(pool_of(network.swim_by_name["m1"])) == 12, limit_s=5)
 
 
 def test_paused_member_wakes_up_with_old_facts() -> None:
-    """What it held before the pause overwrites nothing, and it is taken back."""
+    """Outdated entries of a paused member overwrite nothing, and it rejoins."""
     network = Network()
     names = network.start(20)
-    woken = network.swim_by_name["m3"]
-    network.cut = lambda source, _target: source == "m3"
-    network.run_until(lambda: bool(woken._probes._by_number), limit_s=5)
+    resumed = network.swim_by_name["m3"]
+    network.is_lost = lambda source, _target: source == "m3"
+    network.run_until(lambda: bool(resumed._probes._by_number), limit_s=5)
     network.paused.add("m3")
-    network.cut = lambda _source, _target: False
+    network.is_lost = lambda _source, _target: False
     network.run(15)
     assert _avoided_by_all(network, "m3")
     network.remove("m4")
@@ -138,7 +138,7 @@
     network.swim_by_name["m4"].set_seeds([network.swim_by_name["m5"].own.gossip])
     network.run(5)
     network.paused.discard("m3")
-    woken.receive(Rumor(network.swim_by_name["m5"].own), network.now)
+    resumed.receive(Rumor(network.swim_by_name["m5"].own), network.now)
     others = [name for name in names if name != "m3"]
     for _ in range(100):
         network.run(TICK_S)
@@ -147,11 +147,11 @@
             assert swim.table.by_instance["m4"].entry.incarnation == 2
             assert len(pool_of(swim) - {"m3"}) == 19
     assert _seen_by_all(network, "m3", among=names)
-    assert woken.table.by_instance["m4"].entry.incarnation == 2
+    assert resumed.table.by_instance["m4"].entry.incarnation == 2
 
 
 def test_replaced_daemon_at_the_same_address_counts_as_new() -> None:
-    """A newer process displaces the old one, whatever its instance id."""
+    """A newer process at the same address displaces the old one, under any id."""
     network = Network()
     network.start(10)
     old = network.swim_by_name["m2"].own
@@ -167,51 +167,51 @@
 
 
 def test_displaced_process_does_not_refute() -> None:
-    """A process that wakes up after its replacement leaves the name alone."""
+    """A process that resumes after its replacement does not reclaim the name."""
     network = Network()
     network.start(6)
     network.paused.add("m2")
     network.run(10)
-    woken = network.swim_by_name["m2"]
+    resumed = network.swim_by_name["m2"]
     newer = network.add("m2b", port=4_000, incarnation=2, instance="m2")
     newer.set_seeds([network.swim_by_name["m1"].own.gossip])
     network.run(6)
     network.paused.discard("m2")
-    network.run_until(lambda: woken.displaced, limit_s=15)
+    network.run_until(lambda: resumed.displaced, limit_s=15)
     for name in ("m0", "m1", "m3"):
-        held = network.swim_by_name[name].table.by_instance["m2"].entry
-        assert (held.incarnation, held.status) == (2, Status.ALIVE)
+        known = network.swim_by_name[name].table.by_instance["m2"].entry
+        assert (known.incarnation, known.status) == (2, Status.ALIVE)
 
 
 def test_halves_merge_after_a_cut() -> None:
-    """Two halves that held each other for dead become one domain again."""
+    """Two partitions that considered each other dead merge into one domain again."""
     network = Network()
     names = network.start(20)
     half = set(names[:10])
-    network.cut = lambda source, target: (source in half) != (target in half)
+    network.is_lost = lambda source, target: (source in half) != (target in half)
     network.run(40)
     assert pool_of(network.swim_by_name["m0"]) == half
-    network.cut = lambda _source, _target: False
+    network.is_lost = lambda _source, _target: False
 
-    def whole() -> bool:
+    def is_complete() -> bool:
         return all(len(pool_of(swim)) == 20 for swim in network.swim_by_name.values())
 
-    network.run_until(whole, limit_s=20)
+    network.run_until(is_complete, limit_s=20)
 
 
 def test_suspicion_is_refuted() -> None:
-    """A live member answers a suspicion with a newer version of itself."""
+    """A live member refutes a suspicion with a newer version of its entry."""
     network = Network()
     names = network.start(10)
-    held = network.swim_by_name["m1"].table.by_instance["m2"].entry
-    wrong = replace(held, status=Status.SUSPECT)
+    known = network.swim_by_name["m1"].table.by_instance["m2"].entry
+    wrong = replace(known, status=Status.SUSPECT)
     network.swim_by_name["m1"].merge([wrong], network.now)
     network.run_until(lambda: _seen_by_all(network, "m2", among=names), limit_s=3)
     assert network.swim_by_name["m2"].own.version == 1
 
 
 def test_ack_tells_a_member_that_it_is_held_for_dead() -> None:
-    """Who is held for suspect or dead learns it from its next probe."""
+    """The ack of a member's probe reports that the member is considered dead."""
     network = Network()
     network.start(3)
     swim = network.swim_by_name["m1"]
@@ -224,7 +224,7 @@
 
 
 def test_traffic_per_member_stays_flat() -> None:
-    """Ten times the members send about the same bytes each, idle."""
+    """Idle traffic per member hardly grows with ten times as many members."""
     sent_per_member_by_count = {}
     for count in (30, 300):
         network = Network()
