--- a/damaskbay/core/at_most_once.py
+++ b/damaskbay/core/at_most_once.py
@@ -229,11 +229,11 @@
         del self._records_by_sequence[sequence]
         self._drop_response(sequence)
 
-    def _store_response(self, sequence: int, record: _Record, answer: Answer) -> None:
-        size = _stored_bytes(answer)
+    def _store_response(self, sequence: int, record: _Record, response: Answer) -> None:
+        size = _stored_bytes(response)
         if size > self.options.max_response_bytes:
             return
-        record.result = answer
+        record.result = response
         self._response_bytes_by_sequence[sequence] = size
         self._response_bytes += size
         while self._response_bytes > self.options.max_response_bytes:
@@ -262,9 +262,9 @@
     return record.result
 
 
-def _stored_bytes(answer: Answer) -> int:
+def _stored_bytes(response: Answer) -> int:
     headers = sum(
         len(name) + len(value) + _HEADER_OVERHEAD_BYTES
-        for name, value in answer.headers
+        for name, value in response.headers
     )
-    return len(answer.body) + headers + _RESPONSE_OVERHEAD_BYTES
+    return len(response.body) + headers + _RESPONSE_OVERHEAD_BYTES
--- a/damaskbay/core/at_most_once_ids.py
+++ b/damaskbay/core/at_most_once_ids.py
@@ -52,7 +52,7 @@
 
 def parse_request_id(secrets: Sequence[bytes], text: str) -> OwnerRef | Refusal:
     """
-    Verify a request id and return its content.
+    Return the verified content of a request id, or a refusal if it is invalid.
 
     The signature must match one of the secrets. A text that no daemon issued is
     refused as `not_run`, since no daemon ever runs it.
@@ -71,7 +71,7 @@
 
 
 def fingerprint_of(workspace: str, request: Request) -> bytes:
-    """Return a digest by which a retry is told from a different request."""
+    """Return the digest of a request; a retry must have the same digest."""
     digest = hashlib.sha256()
     parts = (workspace, request.method, request.host, request.target)
     for part in (*(item.encode() for item in parts), request.body):
--- a/damaskbay/core/edge.py
+++ b/damaskbay/core/edge.py
@@ -5,8 +5,8 @@
 
 from damaskbay.core.outcome import Reason, Refusal, not_run
 
-RANK_STEP_SHARE: Final = 0.15
-LOWEST_SHARE: Final = 0.4
+SHARE_STEP_PER_RANK: Final = 0.15
+MIN_SHARE: Final = 0.4
 RETRY_AFTER_S: Final = 1.0
 
 
@@ -23,12 +23,12 @@
 
     def limit_for(self, rank: int) -> int:
         """Return the number of calls in flight at which this rank is refused."""
-        share = max(LOWEST_SHARE, 1.0 - RANK_STEP_SHARE * rank)
+        share = max(MIN_SHARE, 1.0 - SHARE_STEP_PER_RANK * rank)
         return max(1, int(self.threads * share))
 
-    def refuse(self, inside: int, rank: int) -> Refusal | None:
-        """Refuse a call of this rank if `inside` calls in flight reach its limit."""
-        if inside < self.limit_for(rank):
+    def refuse(self, in_flight: int, rank: int) -> Refusal | None:
+        """Refuse a call if `in_flight` has reached the limit of its rank."""
+        if in_flight < self.limit_for(rank):
             return None
         return not_run(
             Reason.OVERLOADED,
--- a/damaskbay/core/identify.py
+++ b/damaskbay/core/identify.py
@@ -46,10 +46,10 @@
 
     `now` is in seconds of the monotonic clock, `wall_now` in seconds since 1970.
     """
-    found = find_key(config, credentials.key, wall_now=wall_now)
-    if isinstance(found, Refusal) and route.access is not Access.OPEN:
-        return found
-    key = None if isinstance(found, Refusal) else found
+    key_or_refusal = find_key(config, credentials.key, wall_now=wall_now)
+    if isinstance(key_or_refusal, Refusal) and route.access is not Access.OPEN:
+        return key_or_refusal
+    key = None if isinstance(key_or_refusal, Refusal) else key_or_refusal
     idempotent = route.idempotent and credentials.idempotent is not False
     deadline_s = route.deadline_s
     if credentials.deadline_s is not None:
--- a/damaskbay/core/membership/exchange.py
+++ b/damaskbay/core/membership/exchange.py
@@ -109,15 +109,17 @@
             return self._requests_to_domains()
         return self._requests_to_delegate(now)
 
-    def answer(self, ask: AskServers, now: float) -> Servers:
+    def answer(self, request: AskServers, now: float) -> Servers:
         """Reply to a request and subscribe its sender to changes."""
-        revisions = self._revisions_for(ask)
-        since = ask.since if ask.source == self._source_id else 0
+        revisions = self._revisions_for(request)
+        since = request.since if request.source == self._source_id else 0
         subscribers = self._subscriber_by_address
-        if ask.address in subscribers or len(subscribers) < MAX_SUBSCRIBERS:
+        if request.address in subscribers or len(subscribers) < MAX_SUBSCRIBERS:
             expires_at = now + self._options.subscription_s
-            subscribers[ask.address] = _Subscriber(ask, revisions.revision, expires_at)
-        return self._servers_since(ask, since)
+            subscribers[request.address] = _Subscriber(
+                request, revisions.revision, expires_at
+            )
+        return self._servers_since(request, since)
 
     def tellings(self, now: float) -> list[ServersUpdate]:
         """Return the changes since the last message to each subscriber."""
@@ -200,7 +202,7 @@
     ) -> Question:
         own = self._own
         last_reply = self._last_reply_by_domain.setdefault(domain, _LastReply())
-        ask = AskServers(
+        request = AskServers(
             own.failure_domain,
             own.address,
             pools,
@@ -208,22 +210,23 @@
             last_reply.revision,
         )
         index = (own.address.port + last_reply.failed_contacts) % len(addresses)
-        return Question(domain, addresses[index], ask)
+        return Question(domain, addresses[index], request)
 
-    def _revisions_for(self, ask: AskServers) -> PoolRevisions:
-        is_local = ask.failure_domain == self._own.failure_domain
+    def _revisions_for(self, request: AskServers) -> PoolRevisions:
+        is_local = request.failure_domain == self._own.failure_domain
         return self.remote.revisions if is_local else self.own_revisions
 
-    def _servers_since(self, ask: AskServers, since: int) -> Servers:
-        revisions = self._revisions_for(ask)
-        pools = revisions.since(since, among=ask.pools)
-        if ask.failure_domain != self._own.failure_domain:
+    def _servers_since(self, request: AskServers, since: int) -> Servers:
+        revisions = self._revisions_for(request)
+        pools = revisions.since(since, among=request.pools)
+        if request.failure_domain != self._own.failure_domain:
             found = [
-                sample(self._own_servers(pool), ask.failure_domain) for pool in pools
+                sample(self._own_servers(pool), request.failure_domain)
+                for pool in pools
             ]
             domain = self._own.failure_domain
         else:
-            pools = pools if since else ask.pools
+            pools = pools if since else request.pools
             found = [self.remote.entries(pool) for pool in pools]
             domain = ""
         entries = pack_entries(entry for entries in found for entry in entries)
@@ -233,7 +236,7 @@
     def _apply_delegate_servers(
         self, pools: tuple[str, ...], entries: tuple[MemberEntry, ...]
     ) -> tuple[str, ...]:
-        """Apply a local delegate's servers, unless this daemon is a delegate itself."""
+        """Apply servers sent by a local delegate; delegates themselves ignore them."""
         if self._order.leads:
             return ()
         domains = {entry.failure_domain for entry in entries}
--- a/damaskbay/core/scrub.py
+++ b/damaskbay/core/scrub.py
@@ -25,9 +25,9 @@
     """
     path, separator, query = request.target.partition("?")
     if holds_key(path, presented):
-        return not_run(Reason.BAD_REQUEST, detail="the path holds a key")
+        return not_run(Reason.BAD_REQUEST, detail="the path contains a key")
     if body_holds_key(request.body, presented):
-        return not_run(Reason.BAD_REQUEST, detail="the body holds a key")
+        return not_run(Reason.BAD_REQUEST, detail="the body contains a key")
     target = path
     if separator:
         target = _join_target(path, _scrub_query(query, presented))
--- a/tests/core/membership/test_exchange.py
+++ b/tests/core/membership/test_exchange.py
@@ -53,9 +53,9 @@
 
 def test_sample_is_bounded_and_differs_by_asker() -> None:
     """A reply has a fixed number of servers, different ones for each domain."""
-    entries = Domain("d1", 200).exchange
-    first = entries.answer(_request(), 0)
-    other = entries.answer(replace(_request(), failure_domain="d3"), 0)
+    exchange = Domain("d1", 200).exchange
+    first = exchange.answer(_request(), 0)
+    other = exchange.answer(replace(_request(), failure_domain="d3"), 0)
     assert len(unpack_entries(first.entries) or ()) == SAMPLE_SERVERS
     assert first.entries != other.entries
 
@@ -93,8 +93,8 @@
 def test_silent_domain_is_left_out() -> None:
     """Servers of an unresponsive domain are removed after the domain timeout."""
     subscriber = Domain("d2", 1)
-    answer = Domain("d1", 1).exchange.answer(_request(), 0)
-    subscriber.exchange.take(answer, 0, answered=True)
+    reply = Domain("d1", 1).exchange.answer(_request(), 0)
+    subscriber.exchange.take(reply, 0, answered=True)
     assert not subscriber.exchange.drop_silent(OPTIONS.domain_timeout_s - 1)
     assert subscriber.exchange.drop_silent(OPTIONS.domain_timeout_s) == ("p",)
 
--- a/tests/core/membership/test_swim.py
+++ b/tests/core/membership/test_swim.py
@@ -218,9 +218,9 @@
     record = swim.table.by_instance["m2"]
     dead = replace(record.entry, status=Status.DEAD)
     swim.table.apply(dead, network.now)
-    [answer] = swim.receive(Ping(record.entry, 1), network.now)
-    assert isinstance(answer.packet, Ack)
-    assert dead in answer.packet.updates
+    [ack] = swim.receive(Ping(record.entry, 1), network.now)
+    assert isinstance(ack.packet, Ack)
+    assert dead in ack.packet.updates
 
 
 def test_traffic_per_member_stays_flat() -> None:
--- a/tests/core/test_at_most_once.py
+++ b/tests/core/test_at_most_once.py
@@ -51,7 +51,7 @@
         self.rng = random.Random(7)
         self.now = 0.0
         self.runs: dict[str, int] = {}
-        self.first_answers: dict[str, Answer] = {}
+        self.first_responses: dict[str, Answer] = {}
         self.ids: list[str] = []
         self.running: list[tuple[RequestOwner, str]] = []
         self.owners = {name: self._new_owner(name) for name in DAEMONS}
@@ -79,7 +79,7 @@
             assert self.runs[request_id] == 1, "ran twice"
             self.running.append((process, request_id))
         elif isinstance(result, Answer):
-            assert result == self.first_answers[request_id]
+            assert result == self.first_responses[request_id]
         elif result.not_run:
             raise AssertionError("an id that may have run was refused as not_run")
 
@@ -101,7 +101,7 @@
         elif end == "unknown":
             result = unknown(Reason.PEER_LOST)
         elif isinstance(result, Answer):
-            self.first_answers[request_id] = result
+            self.first_responses[request_id] = result
         self.now += 100.0 if end == "paused" else 0.0
         process.finish(request_id, result, self.now)
 
