--- a/damaskbay/platform/__init__.py
+++ b/damaskbay/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: translates its names, files and calls."""
+"""Adapter to an external platform: translates its names, files and requests."""
--- a/damaskbay/platform/__main__.py
+++ b/damaskbay/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the daemon on the users' platform: `python -m damaskbay.platform`."""
+"""Run the daemon on the external platform: `python -m damaskbay.platform`."""
 
 import asyncio
 import contextlib
@@ -30,19 +30,19 @@
 _LOGGER = logging.getLogger(__name__)
 
 LOG_LINES_PER_S = 20.0
-"""Lines per second of each message and reason; what is more is counted."""
+"""Log lines per second for each message and reason; further ones are only counted."""
 
 EXIT_INVALID = 3
 
-GC_ALLOCATIONS = 20_000
-"""Allocations between looks for cycles: calls make few, and looking takes time."""
+GC_THRESHOLD_ALLOCATIONS = 20_000
+"""Allocations between collections; calls create few cycles and collecting is slow."""
 
-SETTINGS_LOOK_S = 0.5
-"""Seconds between looks at the settings file: a quarter of the time to apply."""
+SETTINGS_POLL_S = 0.5
+"""Seconds between checks of the file: a quarter of the time allowed to apply it."""
 
 
 def decode_config(document: bytes) -> ConfigSet | str:
-    """Return the set in a manifest, or the field that is wrong."""
+    """Return the configuration set of a manifest, or an error that names the field."""
     try:
         return decode_manifest(document)
     except FieldError as error:
@@ -50,66 +50,69 @@
 
 
 def reload_settings(daemon: MeshDaemon, path: Path, cause: str) -> None:
-    """Take changed settings; what can't be read leaves the present ones in force."""
+    """Apply changed settings; keep the active ones if the file is invalid."""
     try:
         settings = load_settings(path)
     except (FieldError, OSError) as error:
-        _LOGGER.error("daemon: settings are not taken.", extra={"why": str(error)})
+        _LOGGER.error(
+            "daemon: changed settings are invalid.", extra={"why": str(error)}
+        )
         return
     _LOGGER.info("daemon: settings are read again.", extra={"why": cause})
     daemon.reload(settings)
 
 
 async def watch_settings(daemon: MeshDaemon, path: Path) -> None:
-    """Read the settings again whenever the file has changed without a signal."""
-    seen = _stamp(path)
+    """Reload the settings when the file changes, also without a signal."""
+    last_stamp = _file_stamp(path)
     while True:
-        await asyncio.sleep(SETTINGS_LOOK_S)
-        stamp = _stamp(path)
-        if stamp not in (seen, None):
-            seen = stamp
+        await asyncio.sleep(SETTINGS_POLL_S)
+        stamp = _file_stamp(path)
+        if stamp not in (last_stamp, None):
+            last_stamp = stamp
             reload_settings(daemon, path, "file")
 
 
-def _stamp(path: Path) -> tuple[int, int] | None:
+def _file_stamp(path: Path) -> tuple[int, int] | None:
+    """Return modification time in nanoseconds and size; None if there is no file."""
     try:
-        found = path.stat()
+        status = path.stat()
     except OSError:
         return None
-    return found.st_mtime_ns, found.st_size
+    return status.st_mtime_ns, status.st_size
 
 
 async def serve() -> None:
-    """Run until SIGTERM."""
+    """Run the daemon until SIGTERM or SIGINT; raise FieldError, OSError."""
     path = settings_path()
     settings = load_settings(path)
     store = KvStore(settings.store)
 
-    def control(daemon: MeshDaemon) -> Handler:
+    def control_handler(daemon: MeshDaemon) -> Handler:
         listener = HeartbeatListener(
             settings.pool, settings.server, daemon.take_heartbeat, daemon.take_leave
         )
         return listener.serve
 
-    around = Surroundings(
+    surroundings = Surroundings(
         store, DIALECT, decode_config, CONFIG_PREFIX, CONFIG_KEY, MEMBER_PREFIX
     )
-    daemon = MeshDaemon(settings, around, control)
+    daemon = MeshDaemon(settings, surroundings, control_handler)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, daemon.stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, daemon.stop)
     loop.add_signal_handler(signal.SIGHUP, reload_settings, daemon, path, "signal")
-    watching = loop.create_task(watch_settings(daemon, path))
+    settings_task = loop.create_task(watch_settings(daemon, path))
     with contextlib.closing(store):
         await daemon.run()
-    watching.cancel()
+    settings_task.cancel()
 
 
 def main() -> int:
-    """Check the settings, then run."""
+    """Run the daemon; return its exit status, EXIT_INVALID for invalid settings."""
     set_up_queued_logging(level="INFO", lines_per_s=LOG_LINES_PER_S, stream=sys.stdout)
     gc.freeze()
-    gc.set_threshold(GC_ALLOCATIONS)
+    gc.set_threshold(GC_THRESHOLD_ALLOCATIONS)
     try:
         uvloop.run(serve())
     except (FieldError, OSError) as error:
--- a/damaskbay/platform/const.py
+++ b/damaskbay/platform/const.py
@@ -1,4 +1,4 @@
-"""Names of the platform's wire and settings."""
+"""Names that the platform defines, and timeouts of its store."""
 
 from typing import Final
 
@@ -24,7 +24,7 @@
 )
 
 STORE_TIMEOUT_S: Final = 2.0
-"""Longest wait for the store, seconds; sixty times its usual answer is 0.24."""
+"""Timeout of a store request, seconds; sixty times the usual latency is 0.24 s."""
 
-WATCH_GRACE_S: Final = 1.0
-"""Waited beyond the end of a watch, seconds, before its connection is given up."""
+WATCH_TIMEOUT_MARGIN_S: Final = 1.0
+"""Seconds after the end of a watch before its request times out."""
--- a/damaskbay/platform/exceptions.py
+++ b/damaskbay/platform/exceptions.py
@@ -1,5 +1,5 @@
-"""Errors that stay inside the adapter."""
+"""Exceptions of the platform adapter."""
 
 
 class FieldError(Exception):
-    """A field that is missing or holds something else; the text names it."""
+    """Missing or invalid field of a platform document; the message names the field."""
--- a/damaskbay/platform/fields.py
+++ b/damaskbay/platform/fields.py
@@ -1,4 +1,4 @@
-"""Checked reads of the platform's tables; errors name the field."""
+"""Checked access to fields of JSON objects and TOML tables; each raises FieldError."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -6,62 +6,63 @@
 from damaskbay.platform.exceptions import FieldError
 
 Table = Mapping[str, Any]
+"""Decoded JSON object or TOML table."""
 
-_UNITS_S = {"ms": 0.001, "s": 1.0}
+_SECONDS_BY_UNIT = {"ms": 0.001, "s": 1.0}
 
 
-def text(table: Table, name: str) -> str:
-    """Return a text that is not empty."""
+def read_string(table: Table, name: str) -> str:
+    """Return a string that is not empty."""
     value = table.get(name)
     if not isinstance(value, str) or not value:
-        raise FieldError(f"{name}: text is wanted")
+        raise FieldError(f"{name}: expected a non-empty string")
     return value
 
 
-def whole(table: Table, name: str, default: int | None = None) -> int:
-    """Return a whole number of at least 0."""
+def read_integer(table: Table, name: str, default: int | None = None) -> int:
+    """Return an integer of at least 0."""
     value = table.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        raise FieldError(f"{name}: a whole number of at least 0 is wanted")
+        raise FieldError(f"{name}: expected an integer of at least 0")
     return value
 
 
-def number(table: Table, name: str, default: float | None = None) -> float:
+def read_number(table: Table, name: str, default: float | None = None) -> float:
     """Return a number of at least 0."""
     value = table.get(name, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or value < 0:
-        raise FieldError(f"{name}: a number of at least 0 is wanted")
+        raise FieldError(f"{name}: expected a number of at least 0")
     return float(value)
 
 
-def flag(table: Table, name: str, default: bool = False) -> bool:
-    """Return true or false."""
+def read_flag(table: Table, name: str, default: bool = False) -> bool:
+    """Return a Boolean."""
     value = table.get(name, default)
     if not isinstance(value, bool):
-        raise FieldError(f"{name}: true or false is wanted")
+        raise FieldError(f"{name}: expected true or false")
     return value
 
 
-def table(parent: Table, name: str) -> Table:
-    """Return a table inside another one."""
+def read_table(parent: Table, name: str) -> Table:
+    """Return a nested object or table."""
     value = parent.get(name)
     if not isinstance(value, Mapping):
-        raise FieldError(f"{name}: a table is wanted")
+        raise FieldError(f"{name}: expected a table")
     return value
 
 
-def seconds(table: Table, name: str, default_s: float | None = None) -> float:
-    """Return a time such as "1500ms" or "2.5s", in seconds."""
+def read_seconds(table: Table, name: str, default_s: float | None = None) -> float:
+    """Return a duration such as "1500ms" or "2.5s", in seconds."""
     value = table.get(name)
     if value is None and default_s is not None:
         return default_s
     if isinstance(value, str):
         digits = value.rstrip("ms")
-        unit = _UNITS_S.get(value[len(digits) :])
+        unit_s = _SECONDS_BY_UNIT.get(value[len(digits) :])
         try:
             amount = float(digits)
         except ValueError:
-            unit = None
-        if unit is not None and 0.0 <= amount < float("inf"):
-            return amount * unit
-    raise FieldError(f'{name}: a time such as "1500ms" is wanted')
+            unit_s = None
+        if unit_s is not None and 0.0 <= amount < float("inf"):
+            return amount * unit_s
+    raise FieldError(f'{name}: expected a duration such as "1500ms"')
--- a/damaskbay/platform/heartbeats.py
+++ b/damaskbay/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""Reports of backend servers, decoded; served on the control address."""
+"""Handler of the backend server's heartbeats and deregistrations."""
 
 import json
 import logging
@@ -9,46 +9,53 @@
 from damaskbay.core.call import Answer
 from damaskbay.mesh.local_server import Heartbeat
 from damaskbay.platform.exceptions import FieldError
-from damaskbay.platform.fields import Table, seconds, text, whole
+from damaskbay.platform.fields import Table, read_integer, read_seconds, read_string
 from damaskbay.ports.fleet import ServerState
 from damaskbay.ports.peer import PeerAddress
 
 _LOGGER = logging.getLogger(__name__)
 
-BEAT_PATH = "/Instances.Heartbeat/"
-LEAVE_PATH = "/Instances.Deregister/"
-STATES = {"ready": ServerState.READY, "draining": ServerState.DRAINING}
+HEARTBEAT_PATH = "/Instances.Heartbeat/"
+DEREGISTER_PATH = "/Instances.Deregister/"
+STATES_BY_NAME = {"ready": ServerState.READY, "draining": ServerState.DRAINING}
 
-TakeHeartbeat = Callable[[Heartbeat], Awaitable[None]]
-TakeLeave = Callable[[str, int | None], Awaitable[None]]
+HeartbeatCallback = Callable[[Heartbeat], Awaitable[None]]
+DeregisterCallback = Callable[[str, int | None], Awaitable[None]]
+"""Takes the server and its start time in milliseconds, None if not reported."""
 
 
 class HeartbeatListener:
-    """Answers the server beside this daemon; what can't be read names no server."""
+    """
+    Serves the control address for the backend server of this daemon.
+
+    An invalid report gets status 400 and changes nothing.
+    """
 
     def __init__(
         self,
         pool: str,
         server: PeerAddress,
-        heartbeat: TakeHeartbeat,
-        leave: TakeLeave,
+        on_heartbeat: HeartbeatCallback,
+        on_deregister: DeregisterCallback,
     ) -> None:
         self._pool = pool
         self._server = server
-        self._heartbeat = heartbeat
-        self._leave = leave
+        self._on_heartbeat = on_heartbeat
+        self._on_deregister = on_deregister
 
     async def serve(self, arrival: Arrival) -> Answer:
-        """Serve one report."""
+        """Decode one report and pass it on; return the HTTP response."""
         request = arrival.request
         path = request.target.partition("?")[0]
         try:
-            if request.method == "POST" and path.startswith(BEAT_PATH):
-                beat = self._decode(path.removeprefix(BEAT_PATH), request.body)
-                await self._heartbeat(beat)
-            elif request.method == "POST" and path.startswith(LEAVE_PATH):
-                born_ms = _born(request.body)
-                await self._leave(path.removeprefix(LEAVE_PATH), born_ms)
+            if request.method == "POST" and path.startswith(HEARTBEAT_PATH):
+                heartbeat = self._decode_heartbeat(
+                    path.removeprefix(HEARTBEAT_PATH), request.body
+                )
+                await self._on_heartbeat(heartbeat)
+            elif request.method == "POST" and path.startswith(DEREGISTER_PATH):
+                born_ms = _decode_born_ms(request.body)
+                await self._on_deregister(path.removeprefix(DEREGISTER_PATH), born_ms)
             else:
                 return Answer(int(HTTPStatus.NOT_FOUND))
         except FieldError as error:
@@ -57,40 +64,40 @@
         headers = (("Content-Type", "application/json"),)
         return Answer(int(HTTPStatus.OK), headers, b"{}")
 
-    def _decode(self, server: str, body: bytes) -> Heartbeat:
-        report = _table(body)
-        if text(report, "Service") != self._pool:
-            raise FieldError("Service: another service runs here")
-        if text(report, "Address") != str(self._server):
-            raise FieldError("Address: not the server beside this daemon")
-        state = STATES.get(text(report, "State"))
+    def _decode_heartbeat(self, server: str, body: bytes) -> Heartbeat:
+        report = _decode_object(body)
+        if read_string(report, "Service") != self._pool:
+            raise FieldError("Service: differs from the service of this daemon")
+        if read_string(report, "Address") != str(self._server):
+            raise FieldError("Address: differs from the backend server of this daemon")
+        state = STATES_BY_NAME.get(read_string(report, "State"))
         if state is None:
-            raise FieldError("State: is not known")
+            raise FieldError("State: expected ready or draining")
         if not server:
-            raise FieldError("id: is missing in the path")
+            raise FieldError("id: missing in the path")
         return Heartbeat(
             server,
             state,
-            whole(report, "Slots"),
-            whole(report, "Seq"),
-            whole(report, "born", 0),
-            seconds(report, "ColdRemaining", 0.0),
+            read_integer(report, "Slots"),
+            read_integer(report, "Seq"),
+            read_integer(report, "born", 0),
+            read_seconds(report, "ColdRemaining", 0.0),
         )
 
 
-def _table(body: bytes) -> Table:
+def _decode_object(body: bytes) -> Table:
     try:
         value = json.loads(body)
     except (ValueError, RecursionError) as error:
         raise FieldError(f"body: {error}") from None
     if not isinstance(value, dict):
-        raise FieldError("body: a table is wanted")
+        raise FieldError("body: expected an object")
     return value
 
 
-def _born(body: bytes) -> int | None:
-    """Return when the leaving server started; a report may have no body."""
+def _decode_born_ms(body: bytes) -> int | None:
+    """Return the start time of the deregistered server; None if not in the body."""
     if not body:
         return None
-    report = _table(body)
-    return whole(report, "born") if "born" in report else None
+    report = _decode_object(body)
+    return read_integer(report, "born") if "born" in report else None
--- a/damaskbay/platform/manifest.py
+++ b/damaskbay/platform/manifest.py
@@ -1,4 +1,4 @@
-"""The operator's manifest, decoded into the product's configuration set."""
+"""Decoding of the operator's manifest into a configuration set."""
 
 import hashlib
 import json
@@ -19,158 +19,172 @@
 )
 from damaskbay.helpers.keys import digest_of
 from damaskbay.platform.exceptions import FieldError
-from damaskbay.platform.fields import Table, flag, number, seconds, table, text, whole
+from damaskbay.platform.fields import (
+    Table,
+    read_flag,
+    read_integer,
+    read_number,
+    read_seconds,
+    read_string,
+    read_table,
+)
 
 T = TypeVar("T")
 
-KINDS = {"safe": True, "unsafe": False}
-"""What the kind of a route says of repeating its requests."""
+IDEMPOTENT_BY_KIND = {"safe": True, "unsafe": False}
+"""Whether calls on a route of this kind are idempotent and may be retried."""
 
 UNLIMITED = 0.0
 
 
 def decode_manifest(document: bytes) -> ConfigSet:
-    """Return the set that a manifest describes, checked whole; raise FieldError."""
+    """Return the configuration set of a manifest; raise FieldError if it is invalid."""
     try:
         manifest = json.loads(document)
     except (ValueError, RecursionError) as error:
         raise FieldError(f"manifest: {error}") from None
     if not isinstance(manifest, dict):
-        raise FieldError("manifest: a table is wanted")
-    pools = _by_name(manifest, "Services", _pool)
-    workspaces = _by_name(manifest, "Tenants", _workspace)
-    keyed = bool(workspaces)
-    routes = _by_name(manifest, "Routes", lambda name, spec: _route(name, spec, keyed))
+        raise FieldError("manifest: expected an object")
+    pools = _decode_by_name(manifest, "Services", _decode_pool)
+    workspaces = _decode_by_name(manifest, "Tenants", _decode_workspace)
+    keys_required = bool(workspaces)
+    routes = _decode_by_name(
+        manifest, "Routes", lambda name, spec: _decode_route(name, spec, keys_required)
+    )
     for route in routes.values():
         _check_pools(route, pools)
     ranks = {route.priority for route in routes.values()}
     ranks |= {item.priority for item in workspaces.values() if item.priority}
     return ConfigSet(
-        version=whole(manifest, "Version"),
+        version=read_integer(manifest, "Version"),
         digest=hashlib.sha256(document).hexdigest(),
         workspaces_by_name=workspaces,
-        keys_by_digest=_keys(manifest),
+        keys_by_digest=_decode_keys(manifest),
         routes_by_name=routes,
         priorities_by_name={rank: Priority(rank, int(rank)) for rank in ranks},
         pools_by_name=pools,
-        caller_limits=_limits(manifest),
+        caller_limits=_decode_caller_limits(manifest),
     )
 
 
-def _specs(manifest: Table, kind: str) -> list[tuple[str, Table]]:
-    """Return name and body of all resources of a type."""
+def _specs(manifest: Table, resource_type: str) -> list[tuple[str, Table]]:
+    """Return name and spec of all resources of a type."""
     resources = manifest.get("Resources")
     if not isinstance(resources, list):
-        raise FieldError("Resources: a list is wanted")
-    found: list[tuple[str, Table]] = []
+        raise FieldError("Resources: expected a list")
+    specs: list[tuple[str, Table]] = []
     for resource in resources:
         if not isinstance(resource, dict):
-            raise FieldError("Resources: tables are wanted")
-        if resource.get("Type") == kind:
-            name = table(resource, "Metadata").get("Name", "")
-            found.append((str(name), table(resource, "Spec")))
-    return found
+            raise FieldError("Resources: expected a list of objects")
+        if resource.get("Type") == resource_type:
+            name = read_table(resource, "Metadata").get("Name", "")
+            specs.append((str(name), read_table(resource, "Spec")))
+    return specs
 
 
-def _by_name(
-    manifest: Table, kind: str, decode: Callable[[str, Table], T]
+def _decode_by_name(
+    manifest: Table, resource_type: str, decode: Callable[[str, Table], T]
 ) -> dict[str, T]:
-    items: dict[str, T] = {}
-    for name, spec in _specs(manifest, kind):
-        if not name or name in items:
-            raise FieldError(f"{kind}: {name!r} is no unique name")
+    decoded: dict[str, T] = {}
+    for name, spec in _specs(manifest, resource_type):
+        if not name or name in decoded:
+            raise FieldError(f"{resource_type}: name {name!r} is empty or not unique")
         try:
-            items[name] = decode(name, spec)
+            decoded[name] = decode(name, spec)
         except FieldError as error:
-            raise FieldError(f"{kind}.{name}.{error}") from None
-    return items
+            raise FieldError(f"{resource_type}.{name}.{error}") from None
+    return decoded
 
 
-def _pool(name: str, spec: Table) -> Pool:
+def _decode_pool(name: str, spec: Table) -> Pool:
     return Pool(
         name,
         slots_per_server=1,
-        connections_per_server=whole(spec, "MaxConnections", 0),
+        connections_per_server=read_integer(spec, "MaxConnections", 0),
     )
 
 
-def _workspace(name: str, spec: Table) -> RankedWorkspace:
+def _decode_workspace(name: str, spec: Table) -> RankedWorkspace:
     rank = spec.get("Priority")
     return RankedWorkspace(
         name,
-        rate_per_s=number(spec, "RatePerS", UNLIMITED),
-        burst=int(number(spec, "Burst", UNLIMITED)),
-        priority=None if rank is None else str(whole(spec, "Priority")),
+        rate_per_s=read_number(spec, "RatePerS", UNLIMITED),
+        burst=int(read_number(spec, "Burst", UNLIMITED)),
+        priority=None if rank is None else str(read_integer(spec, "Priority")),
     )
 
 
-def _keys(manifest: Table) -> dict[str, Key]:
+def _decode_keys(manifest: Table) -> dict[str, Key]:
     keys: dict[str, Key] = {}
     for name, spec in _specs(manifest, "Tenants"):
         secrets: Any = spec.get("ApiKeys", [])
         if not isinstance(secrets, list) or not all(
             isinstance(secret, str) for secret in secrets
         ):
-            raise FieldError(f"Tenants.{name}.ApiKeys: a list of texts is wanted")
+            raise FieldError(f"Tenants.{name}.ApiKeys: expected a list of strings")
         for secret in secrets:
             digest = digest_of(secret)
             keys[digest] = Key(digest[:8], digest, name)
     return keys
 
 
-def _route(name: str, spec: Table, keyed: bool) -> WeightedRoute:
-    kind = text(spec, "Kind")
-    if kind not in KINDS:
-        raise FieldError(f"Kind: {kind!r} is not known")
-    prefix = text(spec, "Prefix")
+def _decode_route(name: str, spec: Table, keys_required: bool) -> WeightedRoute:
+    kind = read_string(spec, "Kind")
+    if kind not in IDEMPOTENT_BY_KIND:
+        raise FieldError(f"Kind: {kind!r} is unknown")
+    prefix = read_string(spec, "Prefix")
     if not (prefix.startswith("/") and prefix.endswith("/")):
-        raise FieldError("Prefix: a slash at both ends is wanted")
-    parts = _weighted(spec)
-    is_open = not keyed or flag(spec, "AuthExempt")
+        raise FieldError("Prefix: must begin and end with a slash")
+    weighted_pools = _decode_weighted_pools(spec)
+    is_open = not keys_required or read_flag(spec, "AuthExempt")
     return WeightedRoute(
         name=name,
-        host=text(spec, "Host"),
+        host=read_string(spec, "Host"),
         path_prefix=prefix,
         methods=frozenset(),
-        pool=parts[0].pool if parts else text(spec, "Service"),
+        pool=weighted_pools[0].pool if weighted_pools else read_string(spec, "Service"),
         access=Access.OPEN if is_open else Access.KEYED,
-        idempotent=KINDS[kind],
-        deadline_s=seconds(spec, "Timeout"),
-        priority=str(whole(spec, "Priority", 0)),
-        retries=max(0, whole(spec, "NumAttempts", 1) - 1),
+        idempotent=IDEMPOTENT_BY_KIND[kind],
+        deadline_s=read_seconds(spec, "Timeout"),
+        priority=str(read_integer(spec, "Priority", 0)),
+        retries=max(0, read_integer(spec, "NumAttempts", 1) - 1),
         when_unproven=WhenUnproven.SERVE if is_open else WhenUnproven.REFUSE,
-        weighted_pools=parts,
-        objective_s=seconds(spec, "TargetLatency", 0.0) or None,
+        weighted_pools=weighted_pools,
+        objective_s=read_seconds(spec, "TargetLatency", 0.0) or None,
     )
 
 
-def _weighted(spec: Table) -> tuple[WeightedPool, ...]:
+def _decode_weighted_pools(spec: Table) -> tuple[WeightedPool, ...]:
+    """Return the pools whose weight is above 0."""
     clusters = spec.get("WeightedClusters")
     if clusters is None:
         return ()
     if not isinstance(clusters, list):
-        raise FieldError("WeightedClusters: a list is wanted")
-    parts = [WeightedPool(text(c, "Service"), number(c, "Weight")) for c in clusters]
-    parts = [part for part in parts if part.weight > 0.0]
-    if clusters and not parts:
-        raise FieldError("WeightedClusters: a weight above 0 is wanted")
-    return tuple(parts)
+        raise FieldError("WeightedClusters: expected a list")
+    pools = [
+        WeightedPool(read_string(c, "Service"), read_number(c, "Weight"))
+        for c in clusters
+    ]
+    pools = [pool for pool in pools if pool.weight > 0.0]
+    if clusters and not pools:
+        raise FieldError("WeightedClusters: at least one weight must be above 0")
+    return tuple(pools)
 
 
 def _check_pools(route: WeightedRoute, pools: dict[str, Pool]) -> None:
-    named = [part.pool for part in route.weighted_pools] or [route.pool]
-    for pool in named:
-        if pool not in pools:
-            raise FieldError(f"Routes.{route.name}: service {pool!r} is not known")
+    names = [weighted.pool for weighted in route.weighted_pools] or [route.pool]
+    for name in names:
+        if name not in pools:
+            raise FieldError(f"Routes.{route.name}: service {name!r} is unknown")
 
 
-def _limits(manifest: Table) -> CallerLimits:
+def _decode_caller_limits(manifest: Table) -> CallerLimits:
     defaults = CallerLimits()
     for _, spec in _specs(manifest, "Limits"):
         return CallerLimits(
-            whole(spec, "MaxHeaderBytes", defaults.max_header_bytes),
-            whole(spec, "MaxBodyBytes", defaults.max_body_bytes),
-            seconds(spec, "HeaderTimeout", defaults.header_timeout_s),
-            seconds(spec, "IdleTimeout", defaults.idle_timeout_s),
+            read_integer(spec, "MaxHeaderBytes", defaults.max_header_bytes),
+            read_integer(spec, "MaxBodyBytes", defaults.max_body_bytes),
+            read_seconds(spec, "HeaderTimeout", defaults.header_timeout_s),
+            read_seconds(spec, "IdleTimeout", defaults.idle_timeout_s),
         )
     return defaults
--- a/damaskbay/platform/settings.py
+++ b/damaskbay/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file of one process, decoded into the daemon's settings."""
+"""Decoding of the platform's settings file into the daemon's settings."""
 
 import os
 import tomllib
@@ -7,24 +7,30 @@
 from damaskbay.mesh.settings import MeshSettings
 from damaskbay.platform.const import SETTINGS_VARIABLE
 from damaskbay.platform.exceptions import FieldError
-from damaskbay.platform.fields import Table, number, seconds, table, text
+from damaskbay.platform.fields import (
+    Table,
+    read_number,
+    read_seconds,
+    read_string,
+    read_table,
+)
 from damaskbay.ports.peer import PeerAddress
 
-HIGHEST_PORT = 65_535
+MAX_PORT = 65_535
 METRICS_PORT = 9464
-"""The same port as in the deploy file; the settings name none."""
+"""Equals the port in the deploy file; the settings file doesn't contain it."""
 
 
 def settings_path() -> Path:
-    """Return the path of the settings file; raise FieldError."""
+    """Return the settings path from the environment; raise FieldError if unset."""
     value = os.environ.get(SETTINGS_VARIABLE)
     if not value:
-        raise FieldError(f"{SETTINGS_VARIABLE}: the path of the settings is wanted")
+        raise FieldError(f"{SETTINGS_VARIABLE}: expected the path of the settings file")
     return Path(value)
 
 
 def load_settings(path: Path) -> MeshSettings:
-    """Return the settings in a file; raise FieldError, OSError."""
+    """Return the settings of a TOML file; raise FieldError, OSError."""
     try:
         document = tomllib.loads(path.read_text())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
@@ -33,45 +39,45 @@
 
 
 def decode_settings(document: Table) -> MeshSettings:
-    """Return the daemon's settings; unknown fields are passed over."""
-    listen = table(document, "Listen")
-    bounds = table(document, "Bounds")
+    """Return the daemon's settings; ignore unknown fields; raise FieldError."""
+    listen = read_table(document, "Listen")
+    bounds = read_table(document, "Bounds")
     return MeshSettings(
-        instance=text(document, "Node"),
-        failure_domain=text(document, "Zone"),
-        pool=text(document, "Service"),
-        callers=_address(listen, "Outbound"),
-        control=_address(listen, "Control"),
-        readiness=_address(listen, "Readiness"),
-        peers=PeerAddress(text(document, "Ip"), _first_port(document)),
-        metrics=PeerAddress(text(document, "Ip"), METRICS_PORT),
-        server=_address(document, "AppAddr"),
-        store=_address(table(document, "Platform"), "Address"),
-        drain_s=seconds(bounds, "Drain", 2.0),
-        grace_s=seconds(bounds, "Grace", 6.0),
-        revoke_s=seconds(bounds, "Revoke", 5.0),
-        retry_ratio=number(bounds, "RetryBudgetRatio", 0.1),
-        retry_slack=number(bounds, "RetryBudgetSlack", 0.0),
-        quota_overage=number(bounds, "QuotaOverage", 0.0),
-        quota_slack=number(bounds, "QuotaSlack", 0.0),
+        instance=read_string(document, "Node"),
+        failure_domain=read_string(document, "Zone"),
+        pool=read_string(document, "Service"),
+        callers=_read_address(listen, "Outbound"),
+        control=_read_address(listen, "Control"),
+        readiness=_read_address(listen, "Readiness"),
+        peers=PeerAddress(read_string(document, "Ip"), _read_first_port(document)),
+        metrics=PeerAddress(read_string(document, "Ip"), METRICS_PORT),
+        server=_read_address(document, "AppAddr"),
+        store=_read_address(read_table(document, "Platform"), "Address"),
+        drain_s=read_seconds(bounds, "Drain", 2.0),
+        grace_s=read_seconds(bounds, "Grace", 6.0),
+        revoke_s=read_seconds(bounds, "Revoke", 5.0),
+        retry_ratio=read_number(bounds, "RetryBudgetRatio", 0.1),
+        retry_slack=read_number(bounds, "RetryBudgetSlack", 0.0),
+        quota_overage=read_number(bounds, "QuotaOverage", 0.0),
+        quota_slack=read_number(bounds, "QuotaSlack", 0.0),
     )
 
 
-def _address(parent: Table, name: str) -> PeerAddress:
-    value = text(parent, name)
+def _read_address(parent: Table, name: str) -> PeerAddress:
+    value = read_string(parent, name)
     host, colon, port = value.rpartition(":")
-    if not (host and colon and port.isdigit() and int(port) <= HIGHEST_PORT):
-        raise FieldError(f"{name}: an address such as 10.1.0.26:8543 is wanted")
+    if not (host and colon and port.isdigit() and int(port) <= MAX_PORT):
+        raise FieldError(f"{name}: expected an address such as 10.1.0.26:8543")
     return PeerAddress(host, int(port))
 
 
-def _first_port(document: Table) -> int:
+def _read_first_port(document: Table) -> int:
     ports = document.get("PortRange")
     if not (
         isinstance(ports, list)
         and len(ports) == 2
         and all(isinstance(port, int) for port in ports)
-        and 0 < ports[0] < ports[1] <= HIGHEST_PORT
+        and 0 < ports[0] < ports[1] <= MAX_PORT
     ):
-        raise FieldError("PortRange: the first and the last port are wanted")
+        raise FieldError("PortRange: expected the first and the last port")
     return int(ports[0])
--- a/damaskbay/platform/store.py
+++ b/damaskbay/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store over HTTP."""
+"""HTTP client of the platform's metadata store."""
 
 import asyncio
 import base64
@@ -16,9 +16,9 @@
     HttpProblem,
 )
 from damaskbay.core.call import Answer, Request
-from damaskbay.platform.const import STORE_TIMEOUT_S, WATCH_GRACE_S
+from damaskbay.platform.const import STORE_TIMEOUT_S, WATCH_TIMEOUT_MARGIN_S
 from damaskbay.platform.exceptions import FieldError
-from damaskbay.platform.fields import Table, text, whole
+from damaskbay.platform.fields import Table, read_integer, read_string
 from damaskbay.ports.peer import PeerAddress
 from damaskbay.ports.store import (
     StoreConflict,
@@ -37,80 +37,86 @@
 
 
 class KvStore:
-    """Implements `ports.store.Store`; a connection without an answer is dropped."""
+    """Implements `ports.store.Store`; closes a connection whose request timed out."""
 
     def __init__(self, address: PeerAddress) -> None:
         self._host = str(address)
         self._client = HttpClient(address, HttpClientOptions())
 
     async def read(self, prefix: str) -> StoreReading | StoreFailure:
-        """Return all items whose key starts with the prefix, page by page."""
+        """Return all items whose key starts with the prefix; request page by page."""
         items: list[StoreItem] = []
         after = ""
         while True:
             query = {"Prefix": prefix} | ({"after": after} if after else {})
-            page = await self._call("GET", f"/kv-range?{urlencode(query)}")
+            page = await self._request("GET", f"/kv-range?{urlencode(query)}")
             if isinstance(page, StoreFailure):
                 return page
             try:
-                found = [_item(item) for item in _list(page, "items")]
-                revision = whole(page, "StoreRevision")
+                page_items = [
+                    _decode_item(item) for item in _read_objects(page, "items")
+                ]
+                revision = read_integer(page, "StoreRevision")
             except FieldError as error:
                 return StoreFailure(StoreProblem.UNANSWERED, str(error))
-            items += found
-            if not page.get("Truncated") or not found:
+            items += page_items
+            if not page.get("Truncated") or not page_items:
                 return StoreReading(tuple(items), revision)
-            after = found[-1].key
+            after = page_items[-1].key
 
     async def watch(
         self, prefix: str, *, after: int, wait_s: float
     ) -> StoreReading | StoreFailure:
-        """Wait for changes after a revision; no items: time is up."""
+        """Return changes after a revision; no items if none came within `wait_s`."""
         wait_ms = int(wait_s * 1000)
         query = urlencode({"Prefix": prefix, "after": after, "WaitMs": wait_ms})
-        reply = await self._call(
-            "GET", f"/kv-watch?{query}", timeout_s=wait_s + WATCH_GRACE_S
+        reply = await self._request(
+            "GET", f"/kv-watch?{query}", timeout_s=wait_s + WATCH_TIMEOUT_MARGIN_S
         )
         if isinstance(reply, StoreFailure):
             return reply
         try:
-            events = tuple(_item(event) for event in _list(reply, "events"))
-            return StoreReading(events, whole(reply, "StoreRevision"))
+            events = tuple(
+                _decode_item(event) for event in _read_objects(reply, "events")
+            )
+            return StoreReading(events, read_integer(reply, "StoreRevision"))
         except FieldError as error:
             return StoreFailure(StoreProblem.UNANSWERED, str(error))
 
     async def write(
         self, key: str, value: bytes, *, expected: int, lease: int
     ) -> int | StoreConflict | StoreFailure:
-        """Write if the key's revision is the expected one; return the new one."""
+        """Write if the key's revision is the expected one; return the new revision."""
         encoded = base64.b64encode(value).decode("ascii")
-        written = {"Key": key, "Value": encoded, "Lease": lease}
-        return await self._change(key, expected, {"Writes": [written], "Deletes": []})
+        item = {"Key": key, "Value": encoded, "Lease": lease}
+        return await self._transact(key, expected, {"Writes": [item], "Deletes": []})
 
     async def grant(self, ttl_s: float) -> int | StoreFailure:
-        """Return a new lease."""
+        """Create a lease; return its id."""
         body = {"Ttl": f"{int(ttl_s * 1000)}ms"}
-        return _whole_of(await self._call("POST", "/kv-lease", body), "Lease")
+        return _integer_or_failure(
+            await self._request("POST", "/kv-lease", body), "Lease"
+        )
 
     async def keep(self, lease: int) -> StoreFailure | None:
-        """Renew a lease."""
-        reply = await self._call("POST", f"/kv-keep/{lease}")
+        """Renew a lease; return None, or why it failed."""
+        reply = await self._request("POST", f"/kv-keep/{lease}")
         return reply if isinstance(reply, StoreFailure) else None
 
     def close(self) -> None:
         """Close the idle connections."""
         self._client.close()
 
-    async def _change(
-        self, key: str, expected: int, change: dict[str, Any]
+    async def _transact(
+        self, key: str, expected: int, operations: dict[str, Any]
     ) -> int | StoreConflict | StoreFailure:
-        body = {"Precondition": [{"Key": key, "Revision": expected}], **change}
+        body = {"Precondition": [{"Key": key, "Revision": expected}], **operations}
         reply = await self._send("POST", "/kv-txn", body, STORE_TIMEOUT_S)
         if isinstance(reply, Answer) and reply.status == HTTPStatus.PRECONDITION_FAILED:
-            return _conflict(_decoded(reply), key)
-        return _whole_of(_judged(reply), "Revision")
+            return _decode_conflict(_decode_body(reply), key)
+        return _integer_or_failure(_decode_reply(reply), "Revision")
 
-    async def _call(
+    async def _request(
         self,
         method: str,
         target: str,
@@ -118,7 +124,7 @@
         *,
         timeout_s: float = STORE_TIMEOUT_S,
     ) -> Table | StoreFailure:
-        return _judged(await self._send(method, target, body, timeout_s))
+        return _decode_reply(await self._send(method, target, body, timeout_s))
 
     async def _send(
         self,
@@ -134,48 +140,51 @@
             async with asyncio.timeout(timeout_s):
                 reply = await self._client.send(request)
         except TimeoutError:
-            return StoreFailure(StoreProblem.UNANSWERED, "no answer in time")
+            return StoreFailure(StoreProblem.UNANSWERED, "no reply within the timeout")
         if isinstance(reply, HttpFailure):
-            unsent = reply.problem is HttpProblem.NOT_SENT
-            problem = StoreProblem.UNAVAILABLE if unsent else StoreProblem.UNANSWERED
+            not_sent = reply.problem is HttpProblem.NOT_SENT
+            problem = StoreProblem.UNAVAILABLE if not_sent else StoreProblem.UNANSWERED
             return StoreFailure(problem, reply.problem.value)
         return reply
 
 
-def _judged(reply: Answer | StoreFailure) -> Table | StoreFailure:
+def _decode_reply(reply: Answer | StoreFailure) -> Table | StoreFailure:
+    """Return the body of a reply with status 200; otherwise a failure."""
     if isinstance(reply, StoreFailure):
         return reply
     if reply.status != HTTPStatus.OK:
-        known = reply.status in _PROBLEMS_BY_STATUS
+        is_known = reply.status in _PROBLEMS_BY_STATUS
         problem = (
             _PROBLEMS_BY_STATUS[HTTPStatus(reply.status)]
-            if known
+            if is_known
             else StoreProblem.UNAVAILABLE
         )
         return StoreFailure(problem, f"status {reply.status}")
-    return _decoded(reply)
+    return _decode_body(reply)
 
 
-def _decoded(reply: Answer) -> Table | StoreFailure:
+def _decode_body(reply: Answer) -> Table | StoreFailure:
     try:
         value = json.loads(reply.body)
     except (ValueError, RecursionError):
-        return StoreFailure(StoreProblem.UNANSWERED, "answer is no JSON")
+        return StoreFailure(StoreProblem.UNANSWERED, "reply is not JSON")
     if not isinstance(value, dict):
-        return StoreFailure(StoreProblem.UNANSWERED, "answer is no table")
+        return StoreFailure(StoreProblem.UNANSWERED, "reply is not a JSON object")
     return value
 
 
-def _whole_of(reply: Table | StoreFailure, name: str) -> int | StoreFailure:
+def _integer_or_failure(reply: Table | StoreFailure, name: str) -> int | StoreFailure:
     if isinstance(reply, StoreFailure):
         return reply
     try:
-        return whole(reply, name)
+        return read_integer(reply, name)
     except FieldError as error:
         return StoreFailure(StoreProblem.UNANSWERED, str(error))
 
 
-def _conflict(reply: Table | StoreFailure, key: str) -> StoreConflict | StoreFailure:
+def _decode_conflict(
+    reply: Table | StoreFailure, key: str
+) -> StoreConflict | StoreFailure:
     if isinstance(reply, StoreFailure):
         return reply
     for item in reply.get("items") or ():
@@ -184,20 +193,20 @@
     return StoreConflict(0)
 
 
-def _list(reply: Table, name: str) -> list[Table]:
+def _read_objects(reply: Table, name: str) -> list[Table]:
     value = reply.get(name)
     if not isinstance(value, list) or not all(isinstance(i, dict) for i in value):
-        raise FieldError(f"{name}: a list of tables is wanted")
+        raise FieldError(f"{name}: expected a list of objects")
     return value
 
 
-def _item(item: Table) -> StoreItem:
-    key, revision = text(item, "Key"), whole(item, "Revision")
+def _decode_item(item: Table) -> StoreItem:
+    key, revision = read_string(item, "Key"), read_integer(item, "Revision")
     if item.get("Removed"):
         return StoreItem(key, None, revision)
     encoded = item.get("Value", "")
     try:
         value = base64.b64decode(encoded, validate=True)
     except (binascii.Error, TypeError, ValueError):
-        raise FieldError(f"Value of {key}: no base64") from None
+        raise FieldError(f"Value of {key}: not valid base64") from None
     return StoreItem(key, value, revision)
--- a/tests/platform/__init__.py
+++ b/tests/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of platform."""
+"""Tests of the platform adapter."""
--- a/tests/platform/kv_stand_in.py
+++ b/tests/platform/kv_stand_in.py
@@ -1,4 +1,4 @@
-"""A store that speaks the platform's published protocol, with faults to order."""
+"""In-memory store that implements the platform's protocol, with fault injection."""
 
 import asyncio
 import base64
@@ -11,47 +11,49 @@
 from damaskbay.core.call import Answer
 
 HISTORY = 1000
-PAGE = 500
+DEFAULT_PAGE_SIZE = 500
 
 
 @dataclass
 class KvFaults:
     """
-    What the stand-in does wrong: `status` answers all calls with it.
+    Faults to inject.
 
-    While it is `deaf`, watches hear nothing of changes.
+    `status` is the status of all responses. While `deaf`, watches return no
+    changes. With `lose_answers` requests run, but get no response. `page_size` is
+    the number of items on a page.
     """
 
     status: int | None = None
     deaf: bool = False
     lose_answers: bool = False
-    page: int = PAGE
+    page_size: int = DEFAULT_PAGE_SIZE
 
 
 @dataclass
 class KvStandIn:
-    """Items, leases and a history; `serve` is a handler of the HTTP server."""
+    """Items, leases and history of changes; `serve` is a handler of the HTTP server."""
 
     faults: KvFaults = field(default_factory=KvFaults)
     revision: int = 1
-    calls: list[str] = field(default_factory=list)
+    requests: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.items: dict[str, dict[str, Any]] = {}
         self.history: list[dict[str, Any]] = []
-        self.compacted = 0
+        self.compacted_revision = 0
         self.leases: set[int] = set()
         self.changed = asyncio.Condition()
 
     async def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write as the operator does."""
+        """Write an item without a precondition, as an operator; return the revision."""
         async with self.changed:
             self._write(key, base64.b64encode(value).decode(), lease)
             self.changed.notify_all()
         return self.revision
 
-    async def end_lease(self, lease: int) -> None:
-        """Let a lease end and remove its keys."""
+    async def expire_lease(self, lease: int) -> None:
+        """Expire a lease and remove its items."""
         async with self.changed:
             self.leases.discard(lease)
             for key in [k for k, i in self.items.items() if i["Lease"] == lease]:
@@ -59,46 +61,48 @@
             self.changed.notify_all()
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Drop the history, so that watches from an older revision get status 410."""
         self.history.clear()
-        self.compacted = self.revision
+        self.compacted_revision = self.revision
 
     async def serve(self, arrival: Arrival) -> Answer:
-        """Serve one call of the store's protocol."""
+        """Serve one request of the store's protocol."""
         request = arrival.request
         path, _, query = request.target.partition("?")
-        self.calls.append(f"{request.method} {path}")
+        self.requests.append(f"{request.method} {path}")
         if self.faults.status is not None:
             return Answer(self.faults.status)
         arguments = {name: values[0] for name, values in parse_qs(query).items()}
         body = json.loads(request.body) if request.body else {}
-        answer = await self._route(f"{request.method} {path}", arguments, body)
+        response = await self._dispatch(f"{request.method} {path}", arguments, body)
         if self.faults.lose_answers:
             await asyncio.sleep(3600)
-        return answer
+        return response
 
-    async def _route(
-        self, call: str, arguments: dict[str, str], body: dict[str, Any]
+    async def _dispatch(
+        self, endpoint: str, arguments: dict[str, str], body: dict[str, Any]
     ) -> Answer:
-        if call == "GET /kv-range":
-            return self._range(arguments)
-        if call == "GET /kv-watch":
+        if endpoint == "GET /kv-range":
+            return self._read_page(arguments)
+        if endpoint == "GET /kv-watch":
             return await self._watch(arguments)
-        if call == "POST /kv-txn":
-            return await self._txn(body)
-        if call == "POST /kv-lease":
+        if endpoint == "POST /kv-txn":
+            return await self._transact(body)
+        if endpoint == "POST /kv-lease":
             self.leases.add(len(self.leases) + 7)
-            return _json(200, {"Lease": len(self.leases) + 6, "Ttl": body["Ttl"]})
-        if call.startswith("POST /kv-keep/"):
-            known = int(call.rpartition("/")[2]) in self.leases
-            return _json(200 if known else 404, {"Ttl": "1s"})
-        return _json(404, {})
-
-    def _range(self, arguments: dict[str, str]) -> Answer:
+            return _json_response(
+                200, {"Lease": len(self.leases) + 6, "Ttl": body["Ttl"]}
+            )
+        if endpoint.startswith("POST /kv-keep/"):
+            is_known = int(endpoint.rpartition("/")[2]) in self.leases
+            return _json_response(200 if is_known else 404, {"Ttl": "1s"})
+        return _json_response(404, {})
+
+    def _read_page(self, arguments: dict[str, str]) -> Answer:
         prefix, after = arguments["Prefix"], arguments.get("after", "")
         keys = sorted(k for k in self.items if k.startswith(prefix) and k > after)
-        page = keys[: self.faults.page]
-        return _json(
+        page = keys[: self.faults.page_size]
+        return _json_response(
             200,
             {
                 "items": [self.items[key] for key in page],
@@ -109,8 +113,8 @@
 
     async def _watch(self, arguments: dict[str, str]) -> Answer:
         prefix, after = arguments["Prefix"], int(arguments["after"])
-        if after < self.compacted:
-            return _json(410, {})
+        if after < self.compacted_revision:
+            return _json_response(410, {})
 
         def events() -> list[dict[str, Any]]:
             if self.faults.deaf:
@@ -127,23 +131,25 @@
                     await self.changed.wait_for(lambda: bool(events()))
             except TimeoutError:
                 pass
-            return _json(200, {"events": events(), "StoreRevision": self.revision})
+            return _json_response(
+                200, {"events": events(), "StoreRevision": self.revision}
+            )
 
-    async def _txn(self, body: dict[str, Any]) -> Answer:
+    async def _transact(self, body: dict[str, Any]) -> Answer:
         async with self.changed:
-            rows = body["Precondition"]
-            found = [self.items.get(row["Key"]) for row in rows]
-            for row, item in zip(rows, found, strict=True):
-                if (item["Revision"] if item else 0) != row["Revision"]:
-                    return _json(412, {"items": [i for i in found if i]})
+            preconditions = body["Precondition"]
+            current = [self.items.get(one["Key"]) for one in preconditions]
+            for one, item in zip(preconditions, current, strict=True):
+                if (item["Revision"] if item else 0) != one["Revision"]:
+                    return _json_response(412, {"items": [i for i in current if i]})
             for item in body["Writes"]:
                 if item["Lease"] and item["Lease"] not in self.leases:
-                    return _json(404, {})
+                    return _json_response(404, {})
                 self._write(item["Key"], item["Value"], item["Lease"])
             for key in body["Deletes"]:
                 self._remove(key)
             self.changed.notify_all()
-            return _json(200, {"Revision": self.revision})
+            return _json_response(200, {"Revision": self.revision})
 
     def _write(self, key: str, value: str, lease: int) -> None:
         self.revision += 1
@@ -158,6 +164,6 @@
             self.history.append(event)
 
 
-def _json(status: int, value: dict[str, Any]) -> Answer:
+def _json_response(status: int, value: dict[str, Any]) -> Answer:
     headers = (("Content-Type", "application/json"),)
     return Answer(status, headers, json.dumps(value).encode())
--- a/tests/platform/test_heartbeats.py
+++ b/tests/platform/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Decoding of backend servers' reports and of the settings file."""
+"""Tests of the heartbeat listener and of the settings decoder."""
 
 import asyncio
 import json
@@ -47,36 +47,38 @@
 }
 
 
-class _Taken:
+class _RecordedReports:
     def __init__(self) -> None:
-        self.beats: list[Heartbeat] = []
-        self.leaves: list[tuple[str, int | None]] = []
+        self.heartbeats: list[Heartbeat] = []
+        self.deregistrations: list[tuple[str, int | None]] = []
 
-    async def heartbeat(self, beat: Heartbeat) -> None:
-        self.beats.append(beat)
+    async def on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        self.heartbeats.append(heartbeat)
 
-    async def leave(self, server: str, born_ms: int | None) -> None:
-        self.leaves.append((server, born_ms))
+    async def on_deregister(self, server: str, born_ms: int | None) -> None:
+        self.deregistrations.append((server, born_ms))
 
 
-def _post(path: str, body: bytes) -> tuple[int, _Taken]:
-    taken = _Taken()
-    listener = HeartbeatListener("one", SERVER, taken.heartbeat, taken.leave)
+def _post(path: str, body: bytes) -> tuple[int, _RecordedReports]:
+    recorded = _RecordedReports()
+    listener = HeartbeatListener(
+        "one", SERVER, recorded.on_heartbeat, recorded.on_deregister
+    )
     arrival = Arrival(Request("POST", "h", path, (), body), 0.0)
-    return asyncio.run(listener.serve(arrival)).status, taken
+    return asyncio.run(listener.serve(arrival)).status, recorded
 
 
 def test_a_report_is_decoded() -> None:
-    """Each field means what the page says."""
-    status, taken = _post("/Instances.Heartbeat/i-1", json.dumps(REPORT).encode())
+    """Each field of a heartbeat gets its value; `ColdRemaining` becomes seconds."""
+    status, recorded = _post("/Instances.Heartbeat/i-1", json.dumps(REPORT).encode())
     assert status == 200
     expected = Heartbeat("i-1", ServerState.READY, 20, 4, 1_700_000_000_000, 1.5)
-    assert taken.beats == [expected]
+    assert recorded.heartbeats == [expected]
 
 
 def test_what_cannot_be_read_names_no_server() -> None:
-    """Missing, foreign and broken fields are refused, and nothing is taken."""
-    broken: list[bytes] = [b"\xff\xfe", b"[]", b"{"]
+    """Invalid JSON, invalid fields and another server's address get 400, no effect."""
+    bodies: list[bytes] = [b"\xff\xfe", b"[]", b"{"]
     for name, value in (
         ("Service", "other"),
         ("Address", "10.0.0.9:1"),
@@ -86,22 +88,22 @@
         ("Seq", -1),
         ("Seq", None),
     ):
-        broken.append(json.dumps({**REPORT, name: value}).encode())
-    for body in broken:
-        status, taken = _post("/Instances.Heartbeat/i-1", body)
+        bodies.append(json.dumps({**REPORT, name: value}).encode())
+    for body in bodies:
+        status, recorded = _post("/Instances.Heartbeat/i-1", body)
         assert status == 400, body
-        assert not taken.beats
+        assert not recorded.heartbeats
 
 
 def test_a_leave_may_have_no_body() -> None:
-    """The id in the path says who leaves."""
-    assert _post("/Instances.Deregister/i-1", b"")[1].leaves == [("i-1", None)]
+    """The path names the server; the body may add its start time in `born`."""
+    assert _post("/Instances.Deregister/i-1", b"")[1].deregistrations == [("i-1", None)]
     body = b'{"born": 12}'
-    assert _post("/Instances.Deregister/i-1", body)[1].leaves == [("i-1", 12)]
+    assert _post("/Instances.Deregister/i-1", body)[1].deregistrations == [("i-1", 12)]
 
 
 def test_settings_are_decoded_and_unknown_fields_passed_over() -> None:
-    """Times become seconds, addresses typed values."""
+    """Durations become seconds and addresses PeerAddress objects."""
     settings = decode_settings(SETTINGS)
     assert settings.callers == PeerAddress("10.0.0.1", 1)
     assert settings.peers == PeerAddress("10.0.0.1", 7000)
@@ -109,7 +111,7 @@
 
 
 def test_wrong_settings_name_the_field() -> None:
-    """The error says which field and what is wanted."""
+    """The error message names the invalid field."""
     for name, value in (
         ("Node", ""),
         ("AppAddr", "10.0.0.1"),
@@ -127,5 +129,5 @@
 
 
 def load_tests(*_: object) -> unittest.TestSuite:
-    """Load the functions of this module."""
+    """Return a suite of the test functions in this module."""
     return function_suite(globals())
--- a/tests/platform/test_manifest.py
+++ b/tests/platform/test_manifest.py
@@ -1,4 +1,4 @@
-"""Decoding of the operator's manifest."""
+"""Tests of the manifest decoder."""
 
 import json
 import unittest
@@ -13,7 +13,7 @@
 
 
 def manifest(**changes: Any) -> dict[str, Any]:
-    """Return a manifest with one open and one keyed route."""
+    """Return a manifest with an open and a keyed route; `changes` replace fields."""
     route = {
         "Host": "a.example",
         "Prefix": "/p/",
@@ -25,7 +25,7 @@
         "AuthExempt": False,
         "Service": "one",
     }
-    value = {
+    document = {
         "Version": 7,
         "Resources": [
             _resource("Routes", "keyed", route),
@@ -51,28 +51,28 @@
             },
         ],
     }
-    return {**value, **changes}
+    return {**document, **changes}
 
 
-def _resource(kind: str, name: str, spec: dict[str, Any]) -> dict[str, Any]:
-    return {"Type": kind, "Metadata": {"Name": name}, "Spec": spec}
+def _resource(resource_type: str, name: str, spec: dict[str, Any]) -> dict[str, Any]:
+    return {"Type": resource_type, "Metadata": {"Name": name}, "Spec": spec}
 
 
-def _problem(value: Any) -> str:
+def _error_of(value: Any) -> str:
     try:
-        decode_manifest(value if isinstance(value, bytes) else _encoded(value))
+        decode_manifest(value if isinstance(value, bytes) else _encode(value))
     except FieldError as error:
         return str(error)
-    raise AssertionError("the manifest was taken")
+    raise AssertionError("the invalid manifest was accepted")
 
 
-def _encoded(value: dict[str, Any]) -> bytes:
+def _encode(value: dict[str, Any]) -> bytes:
     return json.dumps(value).encode()
 
 
 def test_every_field_is_decoded() -> None:
-    """Times become seconds, attempts retries, keys digests."""
-    config = decode_manifest(_encoded(manifest()))
+    """Durations become seconds, attempts become retries, keys are stored as digests."""
+    config = decode_manifest(_encode(manifest()))
     route = config.routes_by_name["keyed"]
     assert isinstance(route, WeightedRoute)
     assert config.version == 7
@@ -90,8 +90,8 @@
 
 
 def test_the_longest_prefix_wins() -> None:
-    """A prefix counts only with its slashes; a query does not count."""
-    routes = PrefixTable(decode_manifest(_encoded(manifest())))
+    """A prefix matches with its slashes only; the query isn't part of the path."""
+    routes = PrefixTable(decode_manifest(_encode(manifest())))
     found = {
         target: getattr(routes.match("a.example:80", target), "name", None)
         for target in ("/p/x", "/p/q/x?a=/p/", "/p/q", "/p", "/z/", "/p/?x=/p/q/")
@@ -108,10 +108,10 @@
 
 
 def test_what_is_wrong_is_named() -> None:
-    """Each fault names its field; nothing is taken."""
-    assert "manifest" in _problem(b'{"Version": 7, "Resour')
-    assert "Version" in _problem(manifest(Version=-1))
-    assert "Version" in _problem(manifest(Version="7"))
+    """The error of an invalid or truncated manifest names the field."""
+    assert "manifest" in _error_of(b'{"Version": 7, "Resour')
+    assert "Version" in _error_of(manifest(Version=-1))
+    assert "Version" in _error_of(manifest(Version="7"))
     for field, value in (
         ("Kind", "odd"),
         ("Timeout", "-5ms"),
@@ -120,30 +120,30 @@
         ("Priority", -1),
         ("NumAttempts", "two"),
     ):
-        broken = manifest()
-        broken["Resources"][0]["Spec"][field] = value
-        assert field in _problem(broken), field
+        invalid = manifest()
+        invalid["Resources"][0]["Spec"][field] = value
+        assert field in _error_of(invalid), field
     unknown = manifest()
     unknown["Resources"][0]["Spec"]["Service"] = "nobody"
-    assert "nobody" in _problem(unknown)
+    assert "nobody" in _error_of(unknown)
 
 
 def test_weights_must_leave_a_pool() -> None:
-    """Pools of weight 0 get nothing, and all of them can't be so."""
+    """Pools of weight 0 are dropped; a route with only such pools is invalid."""
     split = manifest()
     spec = split["Resources"][0]["Spec"]
     spec["WeightedClusters"] = [
         {"Service": "one", "Weight": 3},
         {"Service": "one", "Weight": 0},
     ]
-    config = decode_manifest(_encoded(split))
+    config = decode_manifest(_encode(split))
     route = config.routes_by_name["keyed"]
     assert isinstance(route, WeightedRoute)
     assert len(route.weighted_pools) == 1
     spec["WeightedClusters"] = [{"Service": "one", "Weight": 0}]
-    assert "Weight" in _problem(split)
+    assert "Weight" in _error_of(split)
 
 
 def load_tests(*_: object) -> unittest.TestSuite:
-    """Load the functions of this module."""
+    """Return a suite of the test functions in this module."""
     return function_suite(globals())
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store's client against a stand-in that speaks its protocol."""
+"""Tests of the store client against the stand-in of the store."""
 
 import asyncio
 import unittest
@@ -34,10 +34,10 @@
 
 
 def test_a_reading_joins_all_pages() -> None:
-    """Pages follow one another until none is left."""
+    """A read requests pages until the last one and returns all items."""
 
     async def check(stand_in: KvStandIn, store: KvStore) -> None:
-        stand_in.faults.page = 2
+        stand_in.faults.page_size = 2
         for number in range(5):
             await stand_in.put(f"a/{number}", b"x")
         await stand_in.put("b/1", b"y")
@@ -49,7 +49,7 @@
 
 
 def test_a_write_needs_the_expected_revision() -> None:
-    """A second writer with the old revision gets the conflict, and nothing changes."""
+    """A write with an old revision returns the conflict and changes nothing."""
 
     async def check(stand_in: KvStandIn, store: KvStore) -> None:
         first = await store.write("k", b"1", expected=0, lease=0)
@@ -64,14 +64,14 @@
 
 
 def test_a_watch_returns_changes_and_removals() -> None:
-    """A removed key comes as an item without a value."""
+    """A watch returns a removed key as an item without a value."""
 
     async def check(stand_in: KvStandIn, store: KvStore) -> None:
         lease = await store.grant(5.0)
         assert isinstance(lease, int)
         written = await store.write("k", b"1", expected=0, lease=lease)
         assert isinstance(written, int)
-        await stand_in.end_lease(lease)
+        await stand_in.expire_lease(lease)
         reading = await store.watch("k", after=written, wait_s=1.0)
         assert isinstance(reading, StoreReading)
         assert [item.value for item in reading.items] == [None]
@@ -83,7 +83,7 @@
 
 
 def test_a_lost_history_is_told() -> None:
-    """Status 410 asks for a new reading."""
+    """Status 410 becomes COMPACTED: the caller has to read again."""
 
     async def check(stand_in: KvStandIn, store: KvStore) -> None:
         await stand_in.put("k", b"1")
@@ -96,7 +96,7 @@
 
 
 def test_statuses_tell_whether_something_was_done() -> None:
-    """Busy and unavailable calls surely did nothing."""
+    """Statuses 429 and 503 become BUSY and UNAVAILABLE: the write had no effect."""
 
     async def check(stand_in: KvStandIn, store: KvStore) -> None:
         cases = {
@@ -114,7 +114,7 @@
 
 
 def test_a_closed_port_is_unavailable() -> None:
-    """Without a connection nothing was done."""
+    """A refused connection becomes UNAVAILABLE: the request had no effect."""
 
     async def run() -> None:
         store = KvStore(PeerAddress("127.0.0.1", 1))
@@ -126,5 +126,5 @@
 
 
 def load_tests(*_: object) -> unittest.TestSuite:
-    """Load the functions of this module."""
+    """Return a suite of the test functions in this module."""
     return function_suite(globals())
