--- a/damaskbay/platform/__main__.py
+++ b/damaskbay/platform/__main__.py
@@ -55,7 +55,8 @@
         settings = load_settings(path)
     except (FieldError, OSError) as error:
         _LOGGER.error(
-            "daemon: changed settings are invalid.", extra={"why": str(error)}
+            "daemon: changed settings are invalid and not applied.",
+            extra={"why": str(error)},
         )
         return
     _LOGGER.info("daemon: settings are read again.", extra={"why": cause})
@@ -74,7 +75,7 @@
 
 
 def _file_stamp(path: Path) -> tuple[int, int] | None:
-    """Return modification time in nanoseconds and size; None if there is no file."""
+    """Return modification time in nanoseconds and size; None if stat fails."""
     try:
         status = path.stat()
     except OSError:
--- a/damaskbay/platform/manifest.py
+++ b/damaskbay/platform/manifest.py
@@ -115,6 +115,7 @@
 
 
 def _decode_keys(manifest: Table) -> dict[str, Key]:
+    """Return the keys of all workspaces by the digest of their secret."""
     keys: dict[str, Key] = {}
     for name, spec in _specs(manifest, "Tenants"):
         secrets: Any = spec.get("ApiKeys", [])
@@ -179,6 +180,7 @@
 
 
 def _decode_caller_limits(manifest: Table) -> CallerLimits:
+    """Return the limits of the first Limits resource, otherwise the defaults."""
     defaults = CallerLimits()
     for _, spec in _specs(manifest, "Limits"):
         return CallerLimits(
--- a/damaskbay/platform/store.py
+++ b/damaskbay/platform/store.py
@@ -185,6 +185,7 @@
 def _decode_conflict(
     reply: Table | StoreFailure, key: str
 ) -> StoreConflict | StoreFailure:
+    """Return the current revision of the key, 0 if the reply doesn't contain it."""
     if isinstance(reply, StoreFailure):
         return reply
     for item in reply.get("items") or ():
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized fault soak of the event-driven daemon, as separate processes."""
+"""Randomized fault soak of the event-driven daemon, run as separate processes."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -12,7 +12,7 @@
 
 
 def main() -> int:
-    """Play seeds one after the other; return 1 if any broke a promise."""
+    """Run seeds one after the other; return 1 if any violated an invariant."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=1)
@@ -24,12 +24,12 @@
         folder = Path(tempfile.mkdtemp(prefix=LOG_FOLDER_PREFIX))
         options = SoakOptions(seed, arguments.machines, arguments.seconds)
         soak = Soak(options, folder)
-        broken = asyncio.run(soak.play())
-        counts = dict(sorted(soak.promises.statuses.items()))
-        print(f"seed {seed}: {len(broken)} broken; {counts}", flush=True)
-        if broken:
+        violations = asyncio.run(soak.run_seed())
+        counts = dict(sorted(soak.checker.statuses.items()))
+        print(f"seed {seed}: {len(violations)} broken; {counts}", flush=True)
+        if violations:
             failed += 1
-            print("\n".join(["events:", *soak.events, "broken:", *broken[:20]]))
+            print("\n".join(["events:", *soak.events, "broken:", *violations[:20]]))
             print(f"logs in {folder}", flush=True)
     print(f"{arguments.seeds - failed} seeds passed, {failed} failed")
     return 1 if failed else 0
--- a/tests/soak/machines.py
+++ b/tests/soak/machines.py
@@ -1,4 +1,4 @@
-"""Machines of the soak: a daemon process, its backend server, its way to the store."""
+"""Machine of the soak: daemon process, backend server and its access to the store."""
 
 import asyncio
 import contextlib
@@ -25,110 +25,114 @@
 GRACE_S = 3.0
 DRAIN_S = 2.0
 REVOKE_S = 5.0
-READY_WAIT_S = 15.0
+READY_TIMEOUT_S = 15.0
 _NETWORK = f"127.{os.getpid() // 250 % 250 + 1}.{os.getpid() % 250 + 1}"
-"""Addresses of this process alone: the metrics port of a daemon is fixed."""
+"""Loopback network of this process; the metrics port is fixed, so hosts must differ."""
 
 _hosts = itertools.count(1)
 
 
 @dataclass
-class Run:
-    """One arrival of a request at a backend server."""
+class Execution:
+    """One execution of a request at a backend server."""
 
     server: str
-    at: float
+    arrived_at: float
     headers: dict[str, str]
     method: str
 
 
 @dataclass
-class Ledger:
-    """What backend servers saw, by request id."""
+class ExecutionLog:
+    """Executions at all backend servers, by request id."""
 
-    runs: dict[str, list[Run]] = field(default_factory=dict)
+    executions: dict[str, list[Execution]] = field(default_factory=dict)
 
-    def ran(self, request_id: str) -> list[Run]:
-        """Return the runs of a request."""
-        return self.runs.get(request_id, [])
+    def of_request(self, request_id: str) -> list[Execution]:
+        """Return the executions of a request, in order of arrival."""
+        return self.executions.get(request_id, [])
 
 
-class StoreGate:
-    """One machine's way to the store; `fault` is None or what goes wrong."""
+class FaultyStore:
+    """Store as one machine reaches it; `fault` is the injected fault or None."""
 
     def __init__(self, serve: Callable[[Arrival], Awaitable[Answer]]) -> None:
         self.fault: str | None = None
         self._serve = serve
 
     async def serve(self, arrival: Arrival) -> Answer:
-        """Serve a call, or fail it as the fault says."""
-        if self.fault == "busy":
+        """Serve a request with the injected fault."""
+        if self.fault == "status_503":
             return Answer(503)
-        if self.fault == "many":
+        if self.fault == "status_429":
             return Answer(429)
-        if self.fault == "silent":
+        if self.fault == "no_response":
             await asyncio.sleep(3600)
         if self.fault == "slow":
             await asyncio.sleep(0.6)
-        answer = await self._serve(arrival)
-        if self.fault == "lost" and arrival.request.method == "POST":
+        response = await self._serve(arrival)
+        if self.fault == "lost_response" and arrival.request.method == "POST":
             await asyncio.sleep(3600)
-        return answer
+        return response
 
 
 class Machine:
     """
-    One machine. Faults are `stop`, `pause`, `kill`, the proxy's and the gate's.
+    Daemon process with its backend server, behind proxies that inject faults.
 
-    Only the process started here is ever signalled, by its own id.
+    Signals go only to the process that was started here, by its process id.
     """
 
     def __init__(
         self,
         name: str,
-        domain: str,
+        failure_domain: str,
         pool: str,
-        ledger: Ledger,
+        execution_log: ExecutionLog,
         store: Callable[[Arrival], Awaitable[Answer]],
         folder: Path,
     ) -> None:
-        self.name, self.domain, self.pool = name, domain, pool
+        self.name, self.failure_domain, self.pool = name, failure_domain, pool
         self.server = f"i-{name}-1"
-        self.slow_s = 0.01
-        self.gate = StoreGate(store)
-        self.acked_drain_at: float | None = None
+        self.response_delay_s = 0.01
+        self.faulty_store = FaultyStore(store)
+        self.drain_acked_at: float | None = None
         self.state = "ready"
         self._host = f"{_NETWORK}.{next(_hosts) % 250 + 1}"
-        self.callers = self._own_address()
-        self._control = self._own_address()
-        self._readiness = self._own_address()
+        self.caller_address = self._new_address()
+        self._control_address = self._new_address()
+        self._readiness_address = self._new_address()
         self._folder = folder
-        self._ledger = ledger
-        self._store = HttpServer(
-            PeerAddress(HOST, 0), self.gate.serve, CallerLimits(idle_timeout_s=600.0)
+        self._execution_log = execution_log
+        self._store_server = HttpServer(
+            PeerAddress(HOST, 0),
+            self.faulty_store.serve,
+            CallerLimits(idle_timeout_s=600.0),
+        )
+        self._backend_server = HttpServer(
+            PeerAddress(HOST, 0), self._serve_call, CallerLimits()
         )
-        self._backend = HttpServer(PeerAddress(HOST, 0), self._run, CallerLimits())
         self.proxy: LoopbackProxy
         self._process: asyncio.subprocess.Process | None = None
-        self._stopping: asyncio.subprocess.Process | None = None
+        self._stopped_process: asyncio.subprocess.Process | None = None
         self._born_ms = int(time.time() * 1000)
         self._sequence = 0
-        self._beating: asyncio.Task[None] | None = None
+        self._heartbeat_task: asyncio.Task[None] | None = None
 
     async def start(self, stack: contextlib.AsyncExitStack) -> None:
-        """Start the parts around the daemon, then the daemon."""
-        await stack.enter_async_context(self._store)
-        await stack.enter_async_context(self._backend)
-        self.proxy = LoopbackProxy(self._backend.address)
+        """Start store, backend server and proxy, then the daemon and heartbeats."""
+        await stack.enter_async_context(self._store_server)
+        await stack.enter_async_context(self._backend_server)
+        self.proxy = LoopbackProxy(self._backend_server.address)
         await stack.enter_async_context(self.proxy)
-        stack.push_async_callback(self.end)
-        self._settings_path().write_text(self._settings())
+        stack.push_async_callback(self.kill)
+        self._settings_path().write_text(self._settings_toml())
         await self.start_daemon()
-        self._beating = asyncio.create_task(self._beat())
-        stack.callback(self._beating.cancel)
+        self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
+        stack.callback(self._heartbeat_task.cancel)
 
     async def start_daemon(self) -> None:
-        """Start the daemon process, its log going to a file."""
+        """Start the daemon process; its output is appended to a log file."""
         log = (self._folder / f"{self.name}.log").open("ab")
         environment = {**os.environ, SETTINGS_VARIABLE: str(self._settings_path())}
         self._process = await asyncio.create_subprocess_exec(
@@ -143,70 +147,72 @@
 
     @property
     def running(self) -> bool:
-        """Tell whether the daemon process is there."""
+        """Return whether the daemon process is running."""
         return self._process is not None and self._process.returncode is None
 
-    def signal(self, number: signal.Signals) -> None:
-        """Signal the own daemon process, if it is there."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal to the daemon process if it is running."""
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
 
-    def begin_stop(self) -> bool:
-        """Ask the daemon process to stop, once; return False where it was already."""
-        if not self.running or self._stopping is self._process:
+    def request_stop(self) -> bool:
+        """Send SIGTERM once per process; return False if sent before or not running."""
+        if not self.running or self._stopped_process is self._process:
             return False
-        self._stopping = self._process
-        self.signal(signal.SIGTERM)
+        self._stopped_process = self._process
+        self.send_signal(signal.SIGTERM)
         return True
 
     async def wait(self) -> None:
-        """Wait for the end of the daemon process."""
+        """Wait until the daemon process has exited."""
         if self._process is not None:
             await self._process.wait()
 
-    async def end(self) -> None:
-        """End the daemon process at once."""
-        self.signal(signal.SIGCONT)
-        self.signal(signal.SIGKILL)
+    async def kill(self) -> None:
+        """Kill the daemon process, also a paused one, and wait until it has exited."""
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGKILL)
         await self.wait()
 
     async def is_ready(self) -> bool:
-        """Tell whether the daemon says that callers may come."""
-        answer = await _ask(self._readiness, Request("GET", "c", "/ready"))
-        return answer is not None and answer.status == 200
+        """Return whether the readiness address responds with status 200."""
+        response = await _request(
+            self._readiness_address, Request("GET", "c", "/ready")
+        )
+        return response is not None and response.status == 200
 
-    async def until_ready(self) -> None:
-        """Wait until the daemon is ready."""
-        async with asyncio.timeout(READY_WAIT_S):
+    async def wait_until_ready(self) -> None:
+        """Wait until the daemon is ready; raise TimeoutError."""
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while not await self.is_ready():
                 await asyncio.sleep(0.1)
 
     async def drain(self) -> None:
-        """Have the server leave; note when that was acknowledged."""
+        """Report the server as draining; record when the daemon acknowledged that."""
         self.state = "draining"
-        if await self._report():
-            self.acked_drain_at = time.monotonic()
+        if await self._send_heartbeat():
+            self.drain_acked_at = time.monotonic()
 
     def replace_server(self) -> None:
-        """Put a new server in the place of one that left."""
+        """Replace the drained server with a new one that has another id."""
         number = int(self.server.rpartition("-")[2]) + 1
         self.server = f"i-{self.name}-{number}"
         self._born_ms = int(time.time() * 1000)
         self._sequence = 0
-        self.acked_drain_at = None
+        self.drain_acked_at = None
         self.state = "ready"
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await self._report()
+            await self._send_heartbeat()
             await asyncio.sleep(0.5)
 
-    async def _report(self) -> bool:
+    async def _send_heartbeat(self) -> bool:
         self._sequence += 1
         report = {
             "Service": self.pool,
             "Address": str(self.proxy.address),
-            "Zone": self.domain,
+            "Zone": self.failure_domain,
             "State": self.state,
             "Slots": SLOTS,
             "Seq": self._sequence,
@@ -215,42 +221,47 @@
         }
         path = f"/Instances.Heartbeat/{self.server}"
         body = json.dumps(report).encode()
-        answer = await _ask(self._control, Request("POST", "c", path, (), body))
-        return answer is not None and answer.status == 200
+        response = await _request(
+            self._control_address, Request("POST", "c", path, (), body)
+        )
+        return response is not None and response.status == 200
 
-    async def _run(self, arrival: Arrival) -> Answer:
-        """Serve as a backend server; the body names the request and the server."""
+    async def _serve_call(self, arrival: Arrival) -> Answer:
+        """Serve a call as backend server; the body names the request and the server."""
         request = arrival.request
         headers = {name.lower(): value for name, value in request.headers}
         request_id = headers["x-request-id"]
-        named: Headers = (("X-Request-Id", request_id),)
+        id_header: Headers = (("X-Request-Id", request_id),)
         if headers.get("x-expect-instance") != self.server:
-            return Answer(421, named)
-        run = Run(self.server, time.monotonic(), headers, request.method)
-        self._ledger.runs.setdefault(request_id, []).append(run)
-        await asyncio.sleep(self.slow_s)
-        stamped = (*named, ("X-Server-Stamp", f"{request_id}.{self.server}"))
-        return Answer(200, stamped, f"{request_id} {self.server}".encode())
-
-    def _own_address(self) -> PeerAddress:
+            return Answer(421, id_header)
+        execution = Execution(self.server, time.monotonic(), headers, request.method)
+        self._execution_log.executions.setdefault(request_id, []).append(execution)
+        await asyncio.sleep(self.response_delay_s)
+        response_headers = (
+            *id_header,
+            ("X-Server-Stamp", f"{request_id}.{self.server}"),
+        )
+        return Answer(200, response_headers, f"{request_id} {self.server}".encode())
+
+    def _new_address(self) -> PeerAddress:
         return PeerAddress(self._host, free_address().port)
 
     def _settings_path(self) -> Path:
         return self._folder / f"{self.name}.toml"
 
-    def _settings(self) -> str:
-        first = free_address().port
+    def _settings_toml(self) -> str:
+        first_port = free_address().port
         return f"""
 Node = "{self.name}"
 Ip = "{self._host}"
-Zone = "{self.domain}"
+Zone = "{self.failure_domain}"
 Service = "{self.pool}"
 AppAddr = "{self.proxy.address}"
-PortRange = [{first}, {first + 1}]
+PortRange = [{first_port}, {first_port + 1}]
 [Listen]
-Outbound = "{self.callers}"
-Readiness = "{self._readiness}"
-Control = "{self._control}"
+Outbound = "{self.caller_address}"
+Readiness = "{self._readiness_address}"
+Control = "{self._control_address}"
 [Bounds]
 Drain = "{DRAIN_S}s"
 Grace = "{GRACE_S}s"
@@ -260,11 +271,11 @@
 QuotaOverage = 0.1
 QuotaSlack = 20
 [Platform]
-Address = "{self._store.address}"
+Address = "{self._store_server.address}"
 """
 
 
-async def _ask(address: PeerAddress, request: Request) -> Answer | None:
+async def _request(address: PeerAddress, request: Request) -> Answer | None:
     client = HttpClient(address, HttpClientOptions(connect_timeout_s=0.5))
     outcome = await client.send(request, timeout_s=1.0)
     client.close()
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets or silences what passes through it."""
+"""Loopback TCP proxy that delays, drops or resets what it forwards."""
 
 import asyncio
 import contextlib
@@ -7,26 +7,26 @@
 
 from damaskbay.ports.peer import PeerAddress
 
-PIECE_BYTES = 65_536
+CHUNK_BYTES = 65_536
 
 
 @dataclass
 class ProxyFaults:
     """
-    What the proxy does wrong.
+    Faults to inject.
 
-    `delay_s` holds each piece up; `silent` loses everything, `silent_back` only
-    what the server sends; with `refuse` new connections are reset.
+    `delay_s` delays each chunk. `drop_all` drops the data of both directions,
+    `drop_from_server` only that of the server. `reset_new` resets new connections.
     """
 
     delay_s: float = 0.0
-    silent: bool = False
-    silent_back: bool = False
-    refuse: bool = False
+    drop_all: bool = False
+    drop_from_server: bool = False
+    reset_new: bool = False
 
 
 class LoopbackProxy:
-    """Passes connections on to one address; an async context manager."""
+    """Forwards connections to one address; an async context manager."""
 
     def __init__(self, target: PeerAddress) -> None:
         self.address = PeerAddress(target.host, 0)
@@ -36,7 +36,7 @@
         self._server: asyncio.Server | None = None
 
     async def __aenter__(self) -> Self:
-        self._server = await asyncio.start_server(self._pass, self.address.host, 0)
+        self._server = await asyncio.start_server(self._accept, self.address.host, 0)
         port = self._server.sockets[0].getsockname()[1]
         self.address = PeerAddress(self.address.host, port)
         return self
@@ -51,38 +51,44 @@
         for writer in tuple(self._writers):
             writer.transport.abort()
 
-    async def _pass(
+    async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self.faults.refuse:
+        if self.faults.reset_new:
             writer.transport.abort()
             return
         self._writers.add(writer)
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            server_reader, server_writer = await asyncio.open_connection(
                 self._target.host, self._target.port
             )
         except OSError:
             writer.transport.abort()
             self._writers.discard(writer)
             return
-        self._writers.add(far_writer)
+        self._writers.add(server_writer)
         await asyncio.gather(
-            self._pump(reader, far_writer, back=False),
-            self._pump(far_reader, writer, back=True),
+            self._forward(reader, server_writer, from_server=False),
+            self._forward(server_reader, writer, from_server=True),
         )
-        self._writers -= {writer, far_writer}
+        self._writers -= {writer, server_writer}
 
-    async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, back: bool
+    async def _forward(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        *,
+        from_server: bool,
     ) -> None:
-        """Pass one direction on until its end, then end the other side's."""
+        """Forward one direction until end of stream, then close the writer."""
         with contextlib.suppress(OSError):
-            while piece := await reader.read(PIECE_BYTES):
+            while chunk := await reader.read(CHUNK_BYTES):
                 if self.faults.delay_s:
                     await asyncio.sleep(self.faults.delay_s)
-                if self.faults.silent or (back and self.faults.silent_back):
+                if self.faults.drop_all or (
+                    from_server and self.faults.drop_from_server
+                ):
                     continue
-                writer.write(piece)
+                writer.write(chunk)
                 await writer.drain()
         writer.close()
