--- a/damaskbay/platform/__main__.py
+++ b/damaskbay/platform/__main__.py
@@ -64,7 +64,7 @@
 
 
 async def watch_settings(daemon: MeshDaemon, path: Path) -> None:
-    """Reload the settings when the file changes, also without a signal."""
+    """Poll the settings file, which may change without a signal; reload on changes."""
     last_stamp = _file_stamp(path)
     while True:
         await asyncio.sleep(SETTINGS_POLL_S)
--- a/damaskbay/platform/store.py
+++ b/damaskbay/platform/store.py
@@ -174,6 +174,7 @@
 
 
 def _integer_or_failure(reply: Table | StoreFailure, name: str) -> int | StoreFailure:
+    """Return an integer field of a reply; pass a failure through."""
     if isinstance(reply, StoreFailure):
         return reply
     try:
@@ -195,6 +196,7 @@
 
 
 def _read_objects(reply: Table, name: str) -> list[Table]:
+    """Return a field that is a list of objects; raise FieldError."""
     value = reply.get(name)
     if not isinstance(value, list) or not all(isinstance(i, dict) for i in value):
         raise FieldError(f"{name}: expected a list of objects")
@@ -202,6 +204,7 @@
 
 
 def _decode_item(item: Table) -> StoreItem:
+    """Return an item or an event of the store; a removed one has no value."""
     key, revision = read_string(item, "Key"), read_integer(item, "Revision")
     if item.get("Removed"):
         return StoreItem(key, None, revision)
