--- a/damaskbay/core/quota/__init__.py
+++ b/damaskbay/core/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Rate and burst of a workspace, held over the whole fleet by demand shares."""
+"""Fleet-wide rate limits of workspaces, split over daemons by demand."""
--- a/damaskbay/core/quota/bucket.py
+++ b/damaskbay/core/quota/bucket.py
@@ -2,41 +2,42 @@
 
 from dataclasses import dataclass
 
-from damaskbay.core.quota.const import BACKLOG_HALF_LIFE_S, RETRY_AFTER_MOST_S
+from damaskbay.core.quota.const import BACKLOG_HALF_LIFE_S, RETRY_AFTER_MAX_S
 
 
 @dataclass(slots=True)
 class Bucket:
     """
-    Tokens at hand, as of `at` in seconds.
+    Available tokens, as of `updated_at` in seconds.
 
-    `refused` requests have been told to come back, each counted for a while.
+    `refused_backlog` estimates the refused calls that are still to be retried, as of
+    `refused_at`; it decays exponentially.
     """
 
     tokens: float
-    at: float
-    refused: float = 0.0
+    updated_at: float
+    refused_backlog: float = 0.0
     refused_at: float = 0.0
 
-    def take(self, rate_per_s: float, depth: float, now: float) -> float:
-        """Take one token and return 0.0, or return the seconds until there is one."""
-        gained = max(0.0, now - self.at) * rate_per_s
+    def spend(self, rate_per_s: float, depth: float, now: float) -> float:
+        """Spend one token and return 0.0, or return the seconds until the next one."""
+        gained = max(0.0, now - self.updated_at) * rate_per_s
         self.tokens = min(depth, self.tokens + gained)
-        self.at = now
+        self.updated_at = now
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             return 0.0
         return (1.0 - self.tokens) / max(rate_per_s, 1e-6)
 
-    def come_back_s(self, rate_per_s: float, next_s: float, now: float) -> float:
+    def retry_after_s(self, rate_per_s: float, next_s: float, now: float) -> float:
         """
-        Return when a refused request may find a token, in seconds.
+        Return the delay in seconds after which a refused call may find a token.
 
-        Tokens before that go to those refused before it, who come back, too.
+        Earlier tokens are set aside for calls refused before, which are retried too.
         """
         age_s = max(0.0, now - self.refused_at)
-        self.refused *= 0.5 ** (age_s / BACKLOG_HALF_LIFE_S)
-        wait_s = next_s + self.refused / max(rate_per_s, 1e-6)
-        self.refused += 1.0
+        self.refused_backlog *= 0.5 ** (age_s / BACKLOG_HALF_LIFE_S)
+        wait_s = next_s + self.refused_backlog / max(rate_per_s, 1e-6)
+        self.refused_backlog += 1.0
         self.refused_at = now
-        return min(RETRY_AFTER_MOST_S, wait_s)
+        return min(RETRY_AFTER_MAX_S, wait_s)
--- a/damaskbay/core/quota/const.py
+++ b/damaskbay/core/quota/const.py
@@ -3,47 +3,48 @@
 from typing import Final
 
 DEMAND_WINDOW_S: Final = 2.0
-"""Time constant of the demand estimate, seconds: few requests a second scatter."""
+"""Time constant of the demand average, seconds; smooths low request rates."""
 
-FLOOR_SHARE: Final = 0.2
-"""Part of a workspace's rate that is split evenly, for demand that moves."""
+EVEN_SPLIT_FRACTION: Final = 0.2
+"""Fraction of a workspace's rate that is split evenly, for demand that moves."""
 
-RETRY_AFTER_MOST_S: Final = 2.0
-"""Longest time a caller over its rate is told to wait, seconds."""
+RETRY_AFTER_MAX_S: Final = 2.0
+"""Longest retry delay sent to a caller over its rate, seconds."""
 
 BACKLOG_HALF_LIFE_S: Final = 1.0
-"""Time after which half of the refused have come back or given up, seconds."""
+"""Time after which half of the refused calls were retried or given up, seconds."""
 
-START_BURST_SHARE: Final = 0.2
-"""Part of the burst a daemon starts with: the fleet may restart within a window."""
+INITIAL_BURST_FRACTION: Final = 0.2
+"""Fraction of the burst in a new bucket: the fleet may restart within a window."""
 
-UNKNOWN_SHARE: Final = 0.02
-"""Part of a rate that a daemon may spend before it knows of any other, 0 to 1."""
+INITIAL_SHARE: Final = 0.02
+"""Fraction of a rate that a daemon may spend before it knows its peers, 0 to 1."""
 
-RATE_USE: Final = 0.6
-"""Part of the overage that the steady rate uses; the rest covers late knowledge."""
+RATE_OVERAGE_FRACTION: Final = 0.6
+"""Fraction of the overage added to the rate; the rest covers outdated demand data."""
 
 POOLED_BELOW_PER_S: Final = 60.0
 """Rate below which tokens are pooled, requests per second.
 
-Above it a daemon of a hundred still has a token in two seconds by itself, and no
-request has to ask another daemon.
+At this rate each of 100 daemons still gets a token in about two seconds, so that no
+call has to wait for a token from a peer.
 """
 
-CACHED_HOMES: Final = 4096
-"""Homes of workspaces that are remembered; bounds memory. Each request asks for one."""
+HOME_DOMAIN_CACHE_SIZE: Final = 4096
+"""Number of workspaces whose home domain is cached, since each call looks it up."""
 
-ASK_AGAIN_MOST_S: Final = 0.4
-"""Longest time until a daemon asks for a token again, seconds: a round of reports.
+TOKEN_RETRY_MAX_S: Final = 0.4
+"""Longest time until a daemon requests a token again, seconds: one report interval.
 
-A relay that nobody relies on yet has none, however long it is asked to wait.
+A relay to which no daemon reports yet has no tokens, so longer waits do not help.
 """
 
-REPORT_FRESH_S: Final = 1.6
-"""How long a report counts, seconds: three that are sent every 0.4 s may be lost."""
+REPORT_TTL_S: Final = 1.6
+"""Time for which a report counts, seconds: of reports each 0.4 s three may be lost."""
 
-ALONE_AFTER_S: Final = 1.7
-"""Time without an answer after which a domain goes on alone, seconds.
+LOCAL_FALLBACK_AFTER_S: Final = 1.7
+"""Time without a reply after which a domain grants tokens on its own, seconds.
 
-By then a home that hears no more has stopped to count it.
+It exceeds `REPORT_TTL_S`, so that the home domain no longer counts the daemons of a
+domain that it can't reach.
 """
--- a/damaskbay/core/quota/demand_pool.py
+++ b/damaskbay/core/quota/demand_pool.py
@@ -1,9 +1,9 @@
-"""What the daemons of all failure domains ask for, kept by one daemon of a domain."""
+"""Demand of the daemons of all failure domains, kept by the relay of one domain."""
 
 from collections.abc import Iterable, Mapping, Set as AbstractSet
 from dataclasses import dataclass
 
-from damaskbay.core.quota.const import FLOOR_SHARE
+from damaskbay.core.quota.const import EVEN_SPLIT_FRACTION
 from damaskbay.helpers.messages import message
 
 Demand = Mapping[str, float]
@@ -16,17 +16,18 @@
 @dataclass(frozen=True, slots=True)
 class DomainTotal:
     """
-    The demand of a failure domain, summed over the daemons that were heard.
+    The demand of a failure domain, summed over the daemons that reported.
 
-    `heard` of the `daemons` that may be spending there have reported.
+    `heard` is the number of daemons that reported, out of `daemons` that may be
+    spending there.
     """
 
     demand: Demand
     heard: int
     daemons: int
 
-    def scaled(self) -> Demand:
-        """Return the demand with those not heard taken for average ones."""
+    def extrapolated(self) -> Demand:
+        """Return the demand with the average added for each daemon not reporting."""
         if not self.heard or self.heard >= self.daemons:
             return self.demand
         factor = self.daemons / self.heard
@@ -36,10 +37,10 @@
 @dataclass(frozen=True, slots=True)
 class Counted:
     """
-    What a round of counting gave for one daemon.
+    The result of a round of demand for one daemon.
 
-    `own` is its demand as it was counted, `total` what to set it against, over
-    `daemons` daemons. Shares within a round add up to a whole.
+    `own` is its counted demand, `total` the demand of the whole fleet of `daemons`
+    daemons. Within a round, the quotients `own / total` add up to 1 at most.
     """
 
     own: Demand
@@ -49,24 +50,24 @@
 
 class DemandPool:
     """
-    Counts, round by round, the demand that daemons of the own domain report.
-
-    The rate is split over domains by the totals they told each other in the round
-    before, and within the own one by the reports of the present round: at each
-    level everybody goes by the same figures, also when demand sets in everywhere
-    at once. A domain that was heard once keeps its last figures while it has
-    members, since it may go on serving where it can't be reached; one never heard
-    is taken for an average one.
+    Counts, round by round, the demand that daemons of the local domain report.
+
+    The rate is split over domains by the totals that they exchanged in the previous
+    round, and within the local domain by the reports of the current round. All
+    daemons thus use the same figures at each level, also when demand starts
+    everywhere at once. An unreachable domain keeps its last total while it has
+    members, since it may still serve calls; a domain without any total counts with
+    the average demand.
     """
 
     def __init__(self, failure_domain: str) -> None:
-        self._own_domain = failure_domain
+        self._local_domain = failure_domain
         self._members: dict[str, AbstractSet[str]] = {}
         self._reports: dict[str, Demand] = {}
-        self._others: dict[str, DomainTotal] = {}
-        self._round: dict[str, Demand] = {}
-        self._round_total = self._told = DomainTotal(_NO_DEMAND, 0, 1)
-        self._total: Demand = _NO_DEMAND
+        self._remote_totals: dict[str, DomainTotal] = {}
+        self._round_reports: dict[str, Demand] = {}
+        self._local_total = self._previous_local_total = DomainTotal(_NO_DEMAND, 0, 1)
+        self._fleet_demand: Demand = _NO_DEMAND
 
     @property
     def daemons(self) -> int:
@@ -74,62 +75,70 @@
         return max(1, sum(len(members) for members in self._members.values()))
 
     def set_members(self, instances_by_domain: Mapping[str, AbstractSet[str]]) -> None:
-        """Take the daemons that may be spending."""
+        """Set the daemons that may be spending; drop the data of all others."""
         self._members = dict(instances_by_domain)
-        own = self._members.get(self._own_domain, frozenset())
-        for gone in self._reports.keys() - own:
-            del self._reports[gone]
-        for gone in self._others.keys() - self._members.keys():
-            del self._others[gone]
+        local = self._members.get(self._local_domain, frozenset())
+        for removed in self._reports.keys() - local:
+            del self._reports[removed]
+        for removed in self._remote_totals.keys() - self._members.keys():
+            del self._remote_totals[removed]
 
     def reported(self, instance: str, demand: Demand) -> None:
-        """Take the report of a daemon of the own domain, for the next round."""
+        """Record the report of a daemon of the local domain for the next round."""
         self._reports[instance] = demand
 
     def heard(self, domain: str, total: DomainTotal) -> None:
-        """Take the total of another domain; one that heard nobody says nothing."""
+        """Record the total of a remote domain, unless no daemon reported there."""
         if total.heard > 0:
-            self._others[domain] = total
+            self._remote_totals[domain] = total
 
     def close_round(self) -> None:
-        """Count what was reported; answers go by it until the next round."""
-        self._told = self._round_total
-        self._round = dict(self._reports)
-        size = len(self._members.get(self._own_domain, ()))
-        heard = len(self._round)
-        total = _sum(self._round.values())
-        self._round_total = DomainTotal(total, heard, max(heard, size, 1))
-        self._total = self._set_against()
+        """Count the recorded reports; results stay the same until the next round."""
+        self._previous_local_total = self._local_total
+        self._round_reports = dict(self._reports)
+        size = len(self._members.get(self._local_domain, ()))
+        heard = len(self._round_reports)
+        total = _sum(self._round_reports.values())
+        self._local_total = DomainTotal(total, heard, max(heard, size, 1))
+        self._fleet_demand = self._estimate_fleet_demand()
 
     def own_total(self) -> DomainTotal:
-        """Return the total of the own domain in this round, to tell the others."""
-        return self._round_total
+        """Return the total of the local domain in this round, for remote domains."""
+        return self._local_total
 
     def counted(self, instance: str) -> Counted:
-        """Return what this round gave for a daemon of the own domain."""
-        own = self._round.get(instance, _NO_DEMAND)
-        return Counted(own, self._total, self.daemons)
-
-    def _set_against(self) -> Demand:
-        """Return, by workspace, what own demand over it is the part of the fleet."""
-        now, told = self._round_total.scaled(), self._told.scaled()
-        others = _sum(item.scaled() for item in self._others.values())
+        """Return the result of this round for a daemon of the local domain."""
+        own = self._round_reports.get(instance, _NO_DEMAND)
+        return Counted(own, self._fleet_demand, self.daemons)
+
+    def _estimate_fleet_demand(self) -> Demand:
+        """
+        Return the demand of the fleet by workspace.
+
+        It is scaled so that the local demand of this round, divided by it, is the
+        local domain's share of the rate.
+        """
+        current, previous = (
+            self._local_total.extrapolated(),
+            self._previous_local_total.extrapolated(),
+        )
+        remote = _sum(item.extrapolated() for item in self._remote_totals.values())
         unknown = (
             self.daemons
-            - self._told.daemons
-            - sum(item.daemons for item in self._others.values())
+            - self._previous_local_total.daemons
+            - sum(item.daemons for item in self._remote_totals.values())
         )
-        per_unknown = max(0, unknown) / self._told.daemons
-        even = min(1.0, self._round_total.daemons / self.daemons)
-        total: dict[str, float] = {}
-        for name in now.keys() | others.keys():
-            own = told.get(name, 0.0)
-            everybody = own * (1.0 + per_unknown) + others.get(name, 0.0)
-            share = own / everybody if everybody > 0.0 else even
-            share = FLOOR_SHARE * even + (1.0 - FLOOR_SHARE) * share
-            asked = now.get(name, 0.0)
-            total[name] = asked / share if asked > 0.0 else everybody
-        return total
+        unknown_ratio = max(0, unknown) / self._previous_local_total.daemons
+        even = min(1.0, self._local_total.daemons / self.daemons)
+        fleet: dict[str, float] = {}
+        for name in current.keys() | remote.keys():
+            local = previous.get(name, 0.0)
+            everywhere = local * (1.0 + unknown_ratio) + remote.get(name, 0.0)
+            share = local / everywhere if everywhere > 0.0 else even
+            share = EVEN_SPLIT_FRACTION * even + (1.0 - EVEN_SPLIT_FRACTION) * share
+            demand = current.get(name, 0.0)
+            fleet[name] = demand / share if demand > 0.0 else everywhere
+        return fleet
 
 
 def _sum(demands: Iterable[Demand]) -> dict[str, float]:
--- a/damaskbay/core/quota/token_pool.py
+++ b/damaskbay/core/quota/token_pool.py
@@ -1,4 +1,4 @@
-"""Tokens of small workspaces, pooled where a share would be part of a token."""
+"""Pooled tokens of workspaces whose rate is too low to be split over daemons."""
 
 from collections.abc import Mapping, Set as AbstractSet
 from dataclasses import dataclass
@@ -7,13 +7,13 @@
 from damaskbay.config.objects import Workspace
 from damaskbay.core.quota.bucket import Bucket
 from damaskbay.core.quota.const import (
-    ALONE_AFTER_S,
-    ASK_AGAIN_MOST_S,
-    CACHED_HOMES,
+    HOME_DOMAIN_CACHE_SIZE,
+    INITIAL_BURST_FRACTION,
+    LOCAL_FALLBACK_AFTER_S,
     POOLED_BELOW_PER_S,
-    RATE_USE,
-    REPORT_FRESH_S,
-    START_BURST_SHARE,
+    RATE_OVERAGE_FRACTION,
+    REPORT_TTL_S,
+    TOKEN_RETRY_MAX_S,
 )
 from damaskbay.core.quota.shares import QuotaOptions
 from damaskbay.helpers.hashing import stable_digest
@@ -21,11 +21,11 @@
 
 
 def is_pooled(workspace: Workspace) -> bool:
-    """Tell whether a workspace's tokens are pooled; the same at every daemon."""
+    """Return whether a workspace's tokens are pooled; all daemons agree on this."""
     return 0.0 < workspace.rate_per_s < POOLED_BELOW_PER_S
 
 
-@lru_cache(maxsize=CACHED_HOMES)
+@lru_cache(maxsize=HOME_DOMAIN_CACHE_SIZE)
 def home_domain(workspace: str, domains: tuple[str, ...]) -> str:
     """Return the domain whose relay holds a workspace's tokens, by rendezvous hash."""
     return max(domains, key=lambda domain: stable_digest(workspace, domain))
@@ -35,10 +35,10 @@
 @dataclass(frozen=True, slots=True)
 class Grant:
     """
-    One token, or when there may be one, in seconds.
+    One token, or the delays in seconds after which one may be available.
 
-    In `next_s` one will be there for whoever asks first; who was refused now may
-    expect one in `wait_s`.
+    The pool has its next token in `next_s`. A caller refused now should retry after
+    `wait_s`, which allows for the calls refused before.
     """
 
     granted: bool
@@ -48,75 +48,78 @@
 
 class TokenPool:
     """
-    Hands out the tokens of pooled workspaces, at the relay of a domain.
+    Grants the tokens of pooled workspaces, at the relay of a domain.
 
-    Which part of a rate it may hand out is the part of all daemons that it stands
-    for: those of its own domain that reported to it lately, and those behind the
-    relays of other domains that said lately that they are in touch with it. Nobody
-    stands behind two pools for longer than a report stays fresh. Times in seconds of
-    one monotonic clock; not safe for threads.
+    Its share of a rate is the fraction of all daemons that rely on it: those of the
+    local domain that reported within `REPORT_TTL_S`, and those of remote domains
+    whose relay reported lately that it has replies from this one. No daemon counts
+    towards two pools for longer than `REPORT_TTL_S`. Times are seconds of one
+    monotonic clock; not thread-safe.
     """
 
     def __init__(self, failure_domain: str, options: QuotaOptions) -> None:
         self.options = options
-        self._own_domain = failure_domain
+        self._local_domain = failure_domain
         self._domains: tuple[str, ...] = (failure_domain,)
         self._members: frozenset[str] = frozenset()
-        self._daemons = 1
-        self._relied_since = 0.0
-        self._fresh_until: dict[str, float] = {}
-        self._behind: dict[str, tuple[int, float]] = {}
-        self._answered_at: dict[str, float] = {}
+        self._daemon_count = 1
+        self._has_reports_since = 0.0
+        self._report_expires_at: dict[str, float] = {}
+        self._remote_daemons: dict[str, tuple[int, float]] = {}
+        self._replied_at: dict[str, float] = {}
         self._buckets: dict[str, Bucket] = {}
 
     @property
     def domains(self) -> tuple[str, ...]:
-        """Return the domains that have members, sorted."""
+        """Return the local domain and all domains that have members, sorted."""
         return self._domains
 
     def set_members(
         self, instances_by_domain: Mapping[str, AbstractSet[str]], now: float
     ) -> None:
-        """Take the daemons that may be spending."""
-        self._domains = tuple(sorted({*instances_by_domain, self._own_domain}))
-        self._members = frozenset(instances_by_domain.get(self._own_domain, ()))
+        """Set the daemons that may be spending."""
+        self._domains = tuple(sorted({*instances_by_domain, self._local_domain}))
+        self._members = frozenset(instances_by_domain.get(self._local_domain, ()))
         counts = (len(members) for members in instances_by_domain.values())
-        self._daemons = max(1, sum(counts))
-        for gone in self._fresh_until.keys() - self._members:
-            del self._fresh_until[gone]
+        self._daemon_count = max(1, sum(counts))
+        for removed in self._report_expires_at.keys() - self._members:
+            del self._report_expires_at[removed]
         for domain in self._domains:
-            self._answered_at.setdefault(domain, now)
+            self._replied_at.setdefault(domain, now)
 
     def reported(self, instance: str, now: float) -> None:
-        """Take note that a daemon of the own domain relies on this one."""
+        """Record that a daemon of the local domain relies on this pool."""
         if instance in self._members:
             if not self.own_daemons(now):
-                self._relied_since = now
-            self._fresh_until[instance] = now + REPORT_FRESH_S
+                self._has_reports_since = now
+            self._report_expires_at[instance] = now + REPORT_TTL_S
 
     def stands_behind(
         self, domain: str, daemons: int, answer_age_s: float, now: float
     ) -> None:
         """
-        Take what the relay of another domain says it stands for.
+        Record how many daemons the relay of a remote domain has behind it.
 
-        `answer_age_s` is how long ago it last had an answer from here: who hears
-        nothing goes on alone, also where only the way back is cut.
+        `answer_age_s` is the time since that relay last had a reply from this one. It
+        counts against the report, since a relay without replies grants tokens on its
+        own, also when only the replies are lost.
         """
-        fresh_s = max(0.0, REPORT_FRESH_S - answer_age_s)
-        self._behind[domain] = (daemons, now + fresh_s)
+        fresh_s = max(0.0, REPORT_TTL_S - answer_age_s)
+        self._remote_daemons[domain] = (daemons, now + fresh_s)
 
     def answered(self, domain: str, asked_at: float) -> None:
-        """Take note that the relay of another domain answered."""
-        self._answered_at[domain] = asked_at
+        """Record that a remote relay replied to the request sent at `asked_at`."""
+        self._replied_at[domain] = asked_at
 
     def answer_age_s(self, domain: str, now: float) -> float:
-        """Return how long ago the relay of a domain last answered."""
-        return now - self._answered_at.get(domain, now)
+        """Return the time in seconds since the last reply of a domain's relay."""
+        return now - self._replied_at.get(domain, now)
 
     def own_daemons(self, now: float) -> int:
-        """Return how many daemons of the own domain rely on this one."""
-        return sum(1 for until in self._fresh_until.values() if until > now)
+        """Return the number of daemons of the local domain that rely on this pool."""
+        return sum(
+            1 for expires_at in self._report_expires_at.values() if expires_at > now
+        )
 
     def home(self, workspace: str) -> str:
         """Return the domain that holds a workspace's tokens."""
@@ -124,39 +127,43 @@
 
     def grant(self, workspace: Workspace, now: float) -> Grant:
         """
-        Hand out one token, for the daemons that this one stands for.
+        Grant one token to a daemon that relies on this pool, or return the delays.
 
-        Where the home of the workspace is another domain that was lost, these are
-        the ones of the own domain, once the home has stopped to count them.
+        While the home domain of the workspace is unreachable, this pool grants the
+        local domain's share, but only once the home no longer counts that domain.
         """
         home = self.home(workspace.name)
-        since = self._relied_since
-        if home != self._own_domain:
-            alone_s = self.answer_age_s(home, now) - ALONE_AFTER_S
-            if alone_s < 0.0:
-                return Grant(False, -alone_s, -alone_s)
-            since = max(since, now - alone_s)
-        part = self._part(now, whole=home == self._own_domain)
+        since = self._has_reports_since
+        if home != self._local_domain:
+            fallback_s = self.answer_age_s(home, now) - LOCAL_FALLBACK_AFTER_S
+            if fallback_s < 0.0:
+                return Grant(False, -fallback_s, -fallback_s)
+            since = max(since, now - fallback_s)
+        share = self._share(now, is_home=home == self._local_domain)
         options = self.options
-        rate = workspace.rate_per_s * part * (1.0 + RATE_USE * options.overage)
-        depth = max(1.0, workspace.burst * part * (1.0 + options.overage))
+        rate = (
+            workspace.rate_per_s
+            * share
+            * (1.0 + RATE_OVERAGE_FRACTION * options.overage)
+        )
+        depth = max(1.0, workspace.burst * share * (1.0 + options.overage))
         bucket = self._buckets.get(workspace.name)
-        if bucket is None or bucket.at < since:
-            bucket = Bucket(START_BURST_SHARE * workspace.burst * part, since)
+        if bucket is None or bucket.updated_at < since:
+            bucket = Bucket(INITIAL_BURST_FRACTION * workspace.burst * share, since)
             self._buckets[workspace.name] = bucket
-        next_s = bucket.take(rate, depth, now)
+        next_s = bucket.spend(rate, depth, now)
         if next_s == 0.0:
             return Grant(True)
-        wait_s = bucket.come_back_s(rate, next_s, now)
-        return Grant(False, min(next_s, ASK_AGAIN_MOST_S), wait_s)
+        wait_s = bucket.retry_after_s(rate, next_s, now)
+        return Grant(False, min(next_s, TOKEN_RETRY_MAX_S), wait_s)
 
-    def _part(self, now: float, *, whole: bool) -> float:
-        """Return the part of all daemons that rely on this one, 0 to 1."""
+    def _share(self, now: float, *, is_home: bool) -> float:
+        """Return the fraction of all daemons that rely on this pool, 0 to 1."""
         count = self.own_daemons(now)
-        if whole:
+        if is_home:
             count += sum(
                 daemons
-                for domain, (daemons, until) in self._behind.items()
-                if until > now and domain in self._domains
+                for domain, (daemons, expires_at) in self._remote_daemons.items()
+                if expires_at > now and domain in self._domains
             )
-        return min(1.0, count / self._daemons)
+        return min(1.0, count / self._daemon_count)
--- a/tests/core/quota/test_demand_pool.py
+++ b/tests/core/quota/test_demand_pool.py
@@ -1,10 +1,10 @@
-"""What a relay makes of reports and of other domains' totals."""
+"""Tests of the demand counted from reports and remote domains' totals."""
 
 import unittest
 
 from hypothesis import given, strategies as st
 
-from damaskbay.core.quota.const import FLOOR_SHARE
+from damaskbay.core.quota.const import EVEN_SPLIT_FRACTION
 from damaskbay.core.quota.demand_pool import DemandPool, DomainTotal
 from tests.common import function_suite
 
@@ -18,14 +18,14 @@
 
 
 def _share(pool: DemandPool, instance: str) -> float:
-    """Return the part of the rate of w that a daemon may take."""
+    """Close a round and return a daemon's share of the rate of workspace w."""
     pool.close_round()
     counted = pool.counted(instance)
     return counted.own["w"] / counted.total["w"]
 
 
 def test_daemons_not_heard_are_taken_for_average_ones() -> None:
-    """One report of two daemons, and none of three: it may take a fifth."""
+    """With one of five daemons reporting, its share is a fifth."""
     pool = _pool()
     pool.reported("a", {"w": 2.0})
     assert pool.daemons == 5
@@ -34,7 +34,7 @@
 
 
 def test_a_domain_keeps_its_total_while_it_has_members() -> None:
-    """What can't be reached may go on serving; what has no members does not."""
+    """An unreachable domain may still serve calls; one without members can't."""
     pool = _pool()
     pool.reported("a", {"w": 2.0})
     pool.reported("b", {"w": 1.0})
@@ -42,7 +42,7 @@
     pool.close_round()
     for _ in range(3):
         share = _share(pool, "a") + _share(pool, "b")
-        expected = FLOOR_SHARE * 0.4 + (1.0 - FLOOR_SHARE) * 3.0 / 12.0
+        expected = EVEN_SPLIT_FRACTION * 0.4 + (1.0 - EVEN_SPLIT_FRACTION) * 3.0 / 12.0
         assert abs(share - expected) < 1e-9
         pool.heard("far", DomainTotal({}, 0, 3))
     pool.set_members({"near": MEMBERS["near"]})
@@ -50,7 +50,7 @@
 
 
 def test_demand_that_sets_in_everywhere_is_not_taken_for_the_own_domains() -> None:
-    """The first round knows no other domain's demand: it gives an even part."""
+    """Without the demand of remote domains, the first round splits evenly."""
     pool = _pool()
     pool.heard("far", DomainTotal({}, 3, 3))
     pool.close_round()
@@ -60,7 +60,7 @@
 
 
 def test_a_daemon_that_is_gone_counts_no_longer() -> None:
-    """Its report goes with it."""
+    """Removing a daemon from the members drops its report."""
     pool = _pool()
     pool.reported("a", {"w": 2.0})
     pool.reported("b", {"w": 4.0})
@@ -83,19 +83,19 @@
 def test_shares_of_a_round_never_exceed_the_whole(
     reported: list[tuple[str, dict[str, float]]],
 ) -> None:
-    """Whatever was reported when, the own domain's daemons split one part."""
+    """The shares of the local daemons add up to 1 at most, whatever they report."""
     pool = _pool()
     for number, (instance, demand) in enumerate(reported):
         pool.reported(instance, demand)
         if number % 2:
             pool.close_round()
         for name in "uvw":
-            parts = 0.0
+            total_share = 0.0
             for member in MEMBERS["near"]:
                 counted = pool.counted(member)
                 own = counted.own.get(name, 0.0)
-                parts += own / counted.total[name] if own else 0.0
-            assert parts <= 1.0 + 1e-9
+                total_share += own / counted.total[name] if own else 0.0
+            assert total_share <= 1.0 + 1e-9
 
 
 def load_tests(*_: object) -> unittest.TestSuite:
--- a/tests/core/quota/test_shares.py
+++ b/tests/core/quota/test_shares.py
@@ -1,4 +1,4 @@
-"""Shares of a workspace's rate over daemons, in virtual time."""
+"""Tests of the split of a workspace's rate over daemons, in virtual time."""
 
 import random
 import unittest
@@ -11,12 +11,12 @@
 
 OPTIONS = QuotaOptions(overage=0.1, slack=20.0)
 WINDOW_S = 5.0
-NOTE_S = 0.5
+EXCHANGE_S = 0.5
 MANY_DAEMONS = 88
 
 
 class _Fleet:
-    """Daemons in domains of four, and the relay of each domain."""
+    """Failure domains of four daemons each, and the relay of each domain."""
 
     def __init__(self, names: list[str]) -> None:
         self.daemons = {name: DemandShares(OPTIONS) for name in names}
@@ -28,7 +28,7 @@
         self.pools = {domain: TokenPool(domain, OPTIONS) for domain in self.members}
 
     def exchange(self, now: float) -> None:
-        """Let daemons report, relays close a round and hear each other."""
+        """Run one round: daemons report, relays count and exchange their totals."""
         for domain, relay in self.relays.items():
             relay.set_members(self.members)
             pool = self.pools[domain]
@@ -40,31 +40,31 @@
             for name in self.members[domain]:
                 self.daemons[name].counted(relay.counted(name))
         for domain, relay in self.relays.items():
-            for other, asked in self.relays.items():
+            for other, other_relay in self.relays.items():
                 if other != domain:
-                    relay.heard(other, asked.own_total())
+                    relay.heard(other, other_relay.own_total())
                     pool, home = self.pools[domain], self.pools[other]
                     age_s = pool.answer_age_s(other, now)
                     home.stands_behind(domain, pool.own_daemons(now), age_s, now)
                     pool.answered(other, now)
 
     def spend(self, name: str, workspace: Workspace, now: float) -> bool:
-        """Spend a token as a daemon does that reaches every relay."""
+        """Spend a token as a daemon does when all relays are reachable."""
         if not is_pooled(workspace):
             return self.daemons[name].spend(workspace, now) is None
         home = home_domain(workspace.name, tuple(self.members))
         return self.pools[home].grant(workspace, now).granted
 
 
-def _play(
+def _simulate(
     rates: list[float],
     workspace: Workspace,
     *,
     seconds: float,
-    cut_at: float | None = None,
+    partition_at: float | None = None,
     seed: int = 1,
 ) -> tuple[list[float], int]:
-    """Return when requests were let through, and how many came, at all daemons."""
+    """Return the times of admitted calls and the number of all calls."""
     rng = random.Random(seed)
     names = [f"d{number}" for number in range(len(rates))]
     fleet = _Fleet(names)
@@ -74,16 +74,16 @@
         for at in _poisson(rng, rate, seconds)
     )
     fleet.exchange(0.0)
-    passed: list[float] = []
-    noted = 0.0
+    admitted_at: list[float] = []
+    exchanged_at = 0.0
     for at, name in arrivals:
-        while noted + NOTE_S <= at:
-            noted += NOTE_S
-            if cut_at is None or noted < cut_at:
-                fleet.exchange(noted)
+        while exchanged_at + EXCHANGE_S <= at:
+            exchanged_at += EXCHANGE_S
+            if partition_at is None or exchanged_at < partition_at:
+                fleet.exchange(exchanged_at)
         if fleet.spend(name, workspace, at):
-            passed.append(at)
-    return passed, len(arrivals)
+            admitted_at.append(at)
+    return admitted_at, len(arrivals)
 
 
 def _poisson(rng: random.Random, rate: float, seconds: float) -> list[float]:
@@ -95,37 +95,39 @@
     return times
 
 
-def _most_in_window(passed: list[float]) -> int:
-    most = first = 0
-    for last, at in enumerate(passed):
-        while passed[first] < at - WINDOW_S:
+def _max_in_window(admitted_at: list[float]) -> int:
+    highest = first = 0
+    for last, at in enumerate(admitted_at):
+        while admitted_at[first] < at - WINDOW_S:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        highest = max(highest, last - first + 1)
+    return highest
 
 
 def _bound(workspace: Workspace) -> float:
-    whole = workspace.rate_per_s * WINDOW_S + workspace.burst
-    return whole * (1.0 + OPTIONS.overage) + OPTIONS.slack
+    limit = workspace.rate_per_s * WINDOW_S + workspace.burst
+    return limit * (1.0 + OPTIONS.overage) + OPTIONS.slack
 
 
 def test_a_greedy_workspace_stays_within_its_rate() -> None:
-    """Seven times the rate over uneven daemons, also while they can't talk."""
+    """At seven times the rate on uneven daemons, also without exchange of reports."""
     workspace = Workspace("w", 100.0, 100)
     rates = [200.0, 200.0, 100.0, 100.0, 50.0, 50.0, 0.5, 0.5]
-    for cut_at in (None, 8.0):
-        passed, _ = _play(rates, workspace, seconds=25.0, cut_at=cut_at)
-        assert _most_in_window(passed) <= _bound(workspace)
+    for partition_at in (None, 8.0):
+        admitted_at, _ = _simulate(
+            rates, workspace, seconds=25.0, partition_at=partition_at
+        )
+        assert _max_in_window(admitted_at) <= _bound(workspace)
 
 
 def test_a_restart_of_all_keeps_the_bound() -> None:
-    """All daemons start anew amid heavy demand, and learn of each other late."""
+    """All daemons restart under heavy demand and receive the first totals late."""
     workspace = Workspace("w", 259.0, 259)
     rng = random.Random(11)
     names = [f"d{number}" for number in range(16)]
 
     fleet = _Fleet(names)
-    passed = []
+    admitted_at = []
     for at in _poisson(rng, 4.3 * 259.0, 20.0):
         step = int(at / 0.001)
         if 13.0 <= at < 13.6:
@@ -135,64 +137,64 @@
             fleet.exchange(at)
         name = names[int(len(names) * rng.random() ** 2)]
         if fleet.daemons[name].spend(workspace, at) is None:
-            passed.append(at)
-    most = _most_in_window(passed)
-    assert most <= _bound(workspace), f"{most} of {_bound(workspace)}"
+            admitted_at.append(at)
+    highest = _max_in_window(admitted_at)
+    assert highest <= _bound(workspace), f"{highest} of {_bound(workspace)}"
 
 
 def test_demand_that_moves_keeps_the_bound() -> None:
-    """A daemon of another domain that suddenly gets all the demand adds no share."""
+    """The shares add up to one rate when all demand moves to a remote daemon."""
     workspace = Workspace("w", 100.0, 100)
     names = ["a", "b", "c", "d", "e"]
     fleet = _Fleet(names)
-    passed = []
+    admitted_at = []
     for step in range(20_000):
         now = step / 1000.0
         if step % 500 == 0:
             fleet.exchange(now)
         name = "a" if now < 10.0 else "e"
         if step % 2 == 0 and fleet.daemons[name].spend(workspace, now) is None:
-            passed.append(now)
-    assert _most_in_window(passed) <= _bound(workspace)
+            admitted_at.append(now)
+    assert _max_in_window(admitted_at) <= _bound(workspace)
 
 
 def test_a_workspace_within_its_rate_is_hardly_refused() -> None:
-    """At 62 % of the rate, over sixteen daemons of uneven demand."""
+    """At 62 % of the rate, on sixteen daemons with uneven demand."""
     for rate in (50.0, 270.0):
         workspace = Workspace("w", rate, int(rate))
         demand = 0.62 * rate
         weights = [3, 3, 2, 2, 1, 1, 1, 1] * 2
         rates = [demand * weight / sum(weights) for weight in weights]
-        passed, came = _play(rates, workspace, seconds=30.0)
-        assert came - len(passed) <= 0.02 * came
+        admitted_at, arrived = _simulate(rates, workspace, seconds=30.0)
+        assert arrived - len(admitted_at) <= 0.02 * arrived
 
 
 def test_a_small_workspace_on_many_daemons_is_hardly_refused() -> None:
-    """At 62 % of 34 requests a second, a few of them a minute at each daemon."""
+    """At 62 % of 34 requests per second, with a few per minute at each daemon."""
     rate = 34.0
     workspace = Workspace("w", rate, int(rate))
     rates = [0.62 * rate / MANY_DAEMONS] * MANY_DAEMONS
-    passed, came = _play(rates, workspace, seconds=20.0)
-    assert came - len(passed) <= 0.02 * came
+    admitted_at, arrived = _simulate(rates, workspace, seconds=20.0)
+    assert arrived - len(admitted_at) <= 0.02 * arrived
 
 
 def test_a_greedy_small_workspace_on_many_daemons_keeps_the_bound() -> None:
-    """Seven times 8 requests a second: each daemon has to hold a whole token."""
+    """At seven times 8 requests per second, where a share is less than a token."""
     rate = 8.0
     workspace = Workspace("w", rate, int(rate))
     rates = [7.0 * rate / MANY_DAEMONS] * MANY_DAEMONS
-    passed, _ = _play(rates, workspace, seconds=20.0)
-    assert _most_in_window(passed) <= _bound(workspace)
+    admitted_at, _ = _simulate(rates, workspace, seconds=20.0)
+    assert _max_in_window(admitted_at) <= _bound(workspace)
 
 
 def test_no_limit_refuses_nothing() -> None:
-    """A rate of 0 means that there is none."""
-    passed, came = _play([50.0, 50.0], Workspace("w", 0.0, 0), seconds=5.0)
-    assert len(passed) == came
+    """A rate of 0 means no limit."""
+    admitted_at, arrived = _simulate([50.0, 50.0], Workspace("w", 0.0, 0), seconds=5.0)
+    assert len(admitted_at) == arrived
 
 
 def test_a_refusal_tells_when_to_come_back() -> None:
-    """The time is that of the next token of the own share."""
+    """The retry delay ends when the daemon's share has its next token."""
     shares = DemandShares(QuotaOptions())
     shares.counted(Counted({}, {}, 1))
     workspace = Workspace("w", 10.0, 1)
@@ -205,7 +207,7 @@
 
 
 def test_refused_requests_are_not_all_called_back_at_once() -> None:
-    """At ten times the rate, tokens of the next second are told to a few only."""
+    """At ten times the rate, only a few retry delays end within the next second."""
     shares = DemandShares(QuotaOptions())
     shares.counted(Counted({}, {}, 1))
     workspace = Workspace("w", 10.0, 10)
--- a/tests/core/quota/test_token_pool.py
+++ b/tests/core/quota/test_token_pool.py
@@ -1,135 +1,140 @@
-"""Pooled tokens over domains that are cut off and relays that change."""
+"""Tests of pooled tokens under partitions and changes of relays."""
 
 import random
 import unittest
 
 from damaskbay.config.objects import Workspace
-from damaskbay.core.quota.const import ALONE_AFTER_S
+from damaskbay.core.quota.const import LOCAL_FALLBACK_AFTER_S
 from damaskbay.core.quota.shares import QuotaOptions
 from damaskbay.core.quota.token_pool import TokenPool, home_domain
 from tests.common import function_suite
 
 OPTIONS = QuotaOptions(overage=0.1, slack=20.0)
 DOMAINS = ("one", "two", "three", "four")
-PER_DOMAIN = 5
+DAEMONS_PER_DOMAIN = 5
 REPORT_S = 0.4
 WINDOW_S = 5.0
 WORKSPACE = Workspace("w", 40.0, 40)
 HOME = home_domain(WORKSPACE.name, DOMAINS)
-AWAY = next(domain for domain in DOMAINS if domain != HOME)
+REMOTE = next(domain for domain in DOMAINS if domain != HOME)
 
 
 class _Relays:
-    """One relay a domain; `cut` holds the ways (from, to) on which nothing passes."""
+    """One relay per domain; `lost_links` are (source, target) pairs without traffic."""
 
     def __init__(self) -> None:
         self.members = {
-            domain: frozenset(f"{domain}{number}" for number in range(PER_DOMAIN))
+            domain: frozenset(
+                f"{domain}{number}" for number in range(DAEMONS_PER_DOMAIN)
+            )
             for domain in DOMAINS
         }
         self.pools = {domain: TokenPool(domain, OPTIONS) for domain in DOMAINS}
-        self.cut: set[tuple[str, str]] = set()
+        self.lost_links: set[tuple[str, str]] = set()
 
-    def passes(self, source: str, target: str) -> bool:
-        """Tell whether a message arrives."""
-        return (source, target) not in self.cut
+    def is_connected(self, source: str, target: str) -> bool:
+        """Return whether a message arrives."""
+        return (source, target) not in self.lost_links
 
     def exchange(self, now: float) -> None:
-        """Let daemons report to their relay and relays to each other."""
+        """Send the reports of daemons to their relay, and of relays to their peers."""
         for domain, pool in self.pools.items():
             pool.set_members(self.members, now)
             for name in self.members[domain]:
                 pool.reported(name, now)
         for domain, pool in self.pools.items():
             for other in DOMAINS:
-                if other == domain or not self.passes(domain, other):
+                if other == domain or not self.is_connected(domain, other):
                     continue
                 age_s = pool.answer_age_s(other, now)
                 daemons = pool.own_daemons(now)
                 self.pools[other].stands_behind(domain, daemons, age_s, now)
-                if self.passes(other, domain):
+                if self.is_connected(other, domain):
                     pool.answered(other, now)
 
     def spend(self, domain: str, now: float) -> bool:
-        """Ask the home; where that is out of reach, the own relay."""
-        there = self.passes(domain, HOME) and self.passes(HOME, domain)
-        return self.pools[HOME if there else domain].grant(WORKSPACE, now).granted
+        """Spend a token of the home, or of the local relay if that is unreachable."""
+        reachable = self.is_connected(domain, HOME) and self.is_connected(HOME, domain)
+        return self.pools[HOME if reachable else domain].grant(WORKSPACE, now).granted
 
 
-def _play(
-    relays: _Relays, per_s: float, cuts: dict[float, set[tuple[str, str]]]
+def _simulate(
+    relays: _Relays, per_s: float, lost_links_by_time: dict[float, set[tuple[str, str]]]
 ) -> dict[str, list[float]]:
-    """Return when tokens were got, by domain, over 30 s of even demand."""
+    """Return the times of granted tokens by domain, over 30 s of even demand."""
     rng = random.Random(3)
-    got: dict[str, list[float]] = {domain: [] for domain in DOMAINS}
+    granted_at: dict[str, list[float]] = {domain: [] for domain in DOMAINS}
     now, reported_at = 0.0, -REPORT_S
     while now < 30.0:
-        for at, cut in cuts.items():
+        for at, links in lost_links_by_time.items():
             if at <= now:
-                relays.cut = cut
+                relays.lost_links = links
         if now >= reported_at + REPORT_S:
             reported_at = now
             relays.exchange(now)
         domain = rng.choice(DOMAINS)
         if relays.spend(domain, now):
-            got[domain].append(now)
+            granted_at[domain].append(now)
         now += rng.expovariate(per_s)
-    return got
+    return granted_at
 
 
-def _most(got: dict[str, list[float]]) -> int:
-    times = sorted(at for times in got.values() for at in times)
+def _max_in_window(granted_at: dict[str, list[float]]) -> int:
+    times = sorted(at for times in granted_at.values() for at in times)
     return max(sum(1 for other in times if at <= other < at + WINDOW_S) for at in times)
 
 
 def _bound() -> float:
-    whole = WORKSPACE.rate_per_s * WINDOW_S + WORKSPACE.burst
-    return whole * (1.0 + OPTIONS.overage) + OPTIONS.slack
+    limit = WORKSPACE.rate_per_s * WINDOW_S + WORKSPACE.burst
+    return limit * (1.0 + OPTIONS.overage) + OPTIONS.slack
 
 
 def test_a_cut_keeps_the_bound_whichever_way_it_is() -> None:
-    """Also where only the answers of the home are lost, and where a cut ends."""
-    both = {(AWAY, HOME), (HOME, AWAY)}
-    for cut in (both, {(HOME, AWAY)}, {(AWAY, HOME)}):
+    """Also when only the replies of the home are lost, and when a partition ends."""
+    both = {(REMOTE, HOME), (HOME, REMOTE)}
+    for lost_links in (both, {(HOME, REMOTE)}, {(REMOTE, HOME)}):
         for per_s in (40.0, 280.0):
-            got = _play(_Relays(), per_s, {10.0: cut, 18.0: set()})
-            assert _most(got) <= _bound()
+            granted_at = _simulate(_Relays(), per_s, {10.0: lost_links, 18.0: set()})
+            assert _max_in_window(granted_at) <= _bound()
 
 
 def test_all_domains_apart_keep_the_bound() -> None:
-    """Each hands out its own part; together that is no more than the rate."""
-    apart = {(one, two) for one in DOMAINS for two in DOMAINS if one != two}
-    got = _play(_Relays(), 280.0, {10.0: apart, 20.0: set()})
-    assert _most(got) <= _bound()
-    late = {domain: [at for at in got[domain] if 13.0 < at < 20.0] for domain in got}
+    """Each isolated domain grants its own share; together they keep the rate."""
+    isolated = {(one, two) for one in DOMAINS for two in DOMAINS if one != two}
+    granted_at = _simulate(_Relays(), 280.0, {10.0: isolated, 20.0: set()})
+    assert _max_in_window(granted_at) <= _bound()
+    late = {
+        domain: [at for at in granted_at[domain] if 13.0 < at < 20.0]
+        for domain in granted_at
+    }
     assert min(len(times) for times in late.values()) >= 0.2 * 7.0 * 40.0
 
 
 def test_a_cut_off_domain_goes_on_alone() -> None:
-    """It gets its part of the rate soon after; the others keep the rest."""
-    both = {(AWAY, HOME), (HOME, AWAY)}
-    got = _play(_Relays(), 24.0, {10.0: both})
-    soon = 10.0 + ALONE_AFTER_S + 2 * REPORT_S
-    assert [at for at in got[AWAY] if soon < at < soon + 2.0]
-    late = [at for at in got[AWAY] if at > soon]
-    assert len(late) >= 0.9 * 6.0 * (30.0 - soon)
+    """An isolated domain grants its share soon after a partition."""
+    both = {(REMOTE, HOME), (HOME, REMOTE)}
+    granted_at = _simulate(_Relays(), 24.0, {10.0: both})
+    fallback_at = 10.0 + LOCAL_FALLBACK_AFTER_S + 2 * REPORT_S
+    assert [at for at in granted_at[REMOTE] if fallback_at < at < fallback_at + 2.0]
+    late = [at for at in granted_at[REMOTE] if at > fallback_at]
+    assert len(late) >= 0.9 * 6.0 * (30.0 - fallback_at)
 
 
 def test_a_relay_that_nobody_relies_on_hands_out_nothing() -> None:
-    """Two that hold themselves for the relay of a domain share its daemons."""
+    """Two daemons that both act as relay of a domain must not both grant its share."""
     pool = TokenPool(HOME, OPTIONS)
     pool.set_members({domain: {domain} for domain in DOMAINS}, 0.0)
-    answer = pool.grant(WORKSPACE, 10.0)
-    assert not answer.granted
-    assert answer.wait_s > 0.0
+    result = pool.grant(WORKSPACE, 10.0)
+    assert not result.granted
+    assert result.wait_s > 0.0
 
 
 def test_a_relay_that_was_paused_has_no_old_reports() -> None:
-    """They are no longer fresh once it goes on, and others may have taken over."""
+    """Reports expire while a relay is paused, since another may have replaced it."""
     relays = _Relays()
     relays.exchange(0.0)
     pool = relays.pools[HOME]
-    assert pool.own_daemons(0.1) == PER_DOMAIN
+    assert pool.own_daemons(0.1) == DAEMONS_PER_DOMAIN
     assert pool.own_daemons(6.0) == 0
 
 
