--- a/damaskbay/core/rates/__init__.py
+++ b/damaskbay/core/rates/__init__.py
@@ -1,1 +1,1 @@
-"""Rate and burst of a workspace, counted once over the whole fleet."""
+"""Fleet-wide rate limits with exact counting by token buckets split into shares."""
--- a/damaskbay/core/rates/bucket.py
+++ b/damaskbay/core/rates/bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket of one holder, with the tokens that others spend for it."""
+"""Token bucket of one holder, including the tokens granted to daemons."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 @dataclass(frozen=True, slots=True)
 class Share:
     """
-    A holder's part of one bucket.
+    A holder's share of one bucket.
 
     Rate in thousandths of a token per second, burst in thousandths of a token.
     """
@@ -17,7 +17,7 @@
     burst_millis: int
 
     def within(self, other: "Share") -> "Share":
-        """Return the smaller of both, rate and burst each."""
+        """Return the minimum of both shares, separately for rate and burst."""
         return Share(
             min(self.rate_millis, other.rate_millis),
             min(self.burst_millis, other.burst_millis),
@@ -35,33 +35,32 @@
 
 class HolderBucket:
     """
-    Accrues tokens at the share's rate, never more than its burst.
+    Token bucket that accrues tokens at the share's rate, up to its burst.
 
-    Tokens that were granted to a daemon count against the burst until the
-    daemon closes the grant or the grant lapses, so that all tokens that can
-    still be spent never exceed the share's burst.
+    Granted tokens count against the burst until the daemon closes the grant or the
+    grant lapses, so that the tokens that can still be spent never exceed the burst.
     """
 
     def __init__(self, share: Share, level: float, now: float) -> None:
         self.share = share
         self._level = min(level, share.burst_millis / MILLIS)
-        self._at = now
+        self._accrued_at = now
         self._grants_by_id: dict[str, _Grant] = {}
         self._outstanding = 0
 
     @property
     def outstanding(self) -> int:
-        """Return the tokens granted and neither closed nor lapsed."""
+        """Return the number of tokens in grants neither closed nor lapsed."""
         return self._outstanding
 
     def level(self, now: float) -> float:
-        """Return the tokens that can be granted now."""
-        self._lapse(now)
+        """Return the number of tokens that can be granted now."""
+        self._remove_lapsed(now)
         self._accrue(now)
         return self._level
 
     def grant(self, grant_id: str, count: int, lapses_at: float, now: float) -> int:
-        """Move up to `count` whole tokens out and return how many."""
+        """Grant up to `count` tokens; return how many, 0 for an id granted before."""
         if grant_id in self._grants_by_id:
             return 0
         granted = min(count, int(self.level(now)))
@@ -73,8 +72,8 @@
         return granted
 
     def close(self, grant_id: str, unused: int, now: float) -> None:
-        """Take a grant's unused tokens back; the others were spent."""
-        self._lapse(now)
+        """Close a grant and put its unused tokens back, unless closed or lapsed."""
+        self._remove_lapsed(now)
         grant = self._grants_by_id.pop(grant_id, None)
         if grant is None:
             return
@@ -83,33 +82,33 @@
         self._add(min(max(unused, 0), grant.count))
 
     def set_share(self, share: Share, now: float) -> None:
-        """Go on with another share; tokens above its burst are lost."""
+        """Set the share and discard tokens above its burst."""
         self._accrue(now)
         self.share = share
         self._add(0)
 
     def add_tokens(self, count: float, now: float) -> None:
-        """Take in tokens that were moved here with a share."""
+        """Add tokens that were claimed together with a share."""
         self._accrue(now)
         self._add(count)
 
     def remove_tokens(self, limit: float, now: float) -> float:
-        """Move at most `limit` tokens out and return how many."""
-        taken = min(limit, self.level(now))
-        self._level -= taken
-        return taken
+        """Remove at most `limit` tokens and return how many."""
+        removed = min(limit, self.level(now))
+        self._level -= removed
+        return removed
 
     def _accrue(self, now: float) -> None:
-        elapsed_s = max(0.0, now - self._at)
-        self._at = max(self._at, now)
+        elapsed_s = max(0.0, now - self._accrued_at)
+        self._accrued_at = max(self._accrued_at, now)
         self._add(elapsed_s * self.share.rate_millis / MILLIS)
 
     def _add(self, count: float) -> None:
         room = self.share.burst_millis / MILLIS - self._outstanding
         self._level = max(0.0, min(self._level + count, room))
 
-    def _lapse(self, now: float) -> None:
-        """Forget the tokens of grants whose daemons surely dropped them."""
+    def _remove_lapsed(self, now: float) -> None:
+        """Remove lapsed grants, whose tokens no daemon can spend any more."""
         lapsed = [
             grant_id
             for grant_id, grant in self._grants_by_id.items()
--- a/damaskbay/core/rates/codec.py
+++ b/damaskbay/core/rates/codec.py
@@ -1,4 +1,4 @@
-"""Ledgers as bytes: msgpack, holders by index to keep values small."""
+"""Encoding of ledgers as msgpack; refers to holders by index to save space."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -16,59 +16,59 @@
 )
 from damaskbay.core.rates.names import Total
 
-_Holder = tuple[str, NonNegativeInt, NonNegativeFloat]
-_Holding = tuple[
+_HolderItem = tuple[str, NonNegativeInt, NonNegativeFloat]
+_HoldingItem = tuple[
     NonNegativeInt, NonNegativeInt, NonNegativeInt, NonNegativeInt, NonNegativeInt
 ]
-_Bucket = tuple[
+_BucketItem = tuple[
     str,
     NonNegativeInt,
     NonNegativeInt,
     NonNegativeInt,
     NonNegativeInt,
     NonNegativeInt,
-    tuple[_Holding, ...],
+    tuple[_HoldingItem, ...],
 ]
-_DOCUMENT: TypeAdapter[tuple[int, tuple[_Holder, ...], tuple[_Bucket, ...]]] = (
-    TypeAdapter(tuple[int, tuple[_Holder, ...], tuple[_Bucket, ...]])
+_DOCUMENT: TypeAdapter[tuple[int, tuple[_HolderItem, ...], tuple[_BucketItem, ...]]] = (
+    TypeAdapter(tuple[int, tuple[_HolderItem, ...], tuple[_BucketItem, ...]])
 )
 
 
 @dataclass(frozen=True, slots=True)
 class BadLedger:
-    """Bytes that are no ledger; nothing may be claimed or written over them."""
+    """Invalid ledger bytes, with the reason; they must not be overwritten."""
 
     detail: str
 
 
 def encode_ledger(ledger: GroupLedger) -> bytes:
-    """Return the ledger's bytes, the same for equal ledgers."""
-    ids = sorted(ledger.holders_by_id)
-    index_by_id = {holder: index for index, holder in enumerate(ids)}
+    """Return the encoded ledger; equal ledgers give equal bytes."""
+    holder_ids = sorted(ledger.holders_by_id)
+    index_by_id = {holder: index for index, holder in enumerate(holder_ids)}
     holders = [
         (
             item,
             ledger.holders_by_id[item].sequence,
             ledger.holders_by_id[item].validity_s,
         )
-        for item in ids
+        for item in holder_ids
     ]
     buckets = [
-        _bucket(name, ledger.buckets_by_name[name], index_by_id)
+        _encode_bucket(name, ledger.buckets_by_name[name], index_by_id)
         for name in sorted(ledger.buckets_by_name)
     ]
     return msgpack.packb((LEDGER_FORMAT, holders, buckets))  # type: ignore[no-any-return]
 
 
 def decode_ledger(data: bytes) -> GroupLedger | BadLedger:
-    """Return the ledger, or why the bytes are none."""
+    """Return the decoded ledger, or a `BadLedger` with the reason."""
     try:
         document = _DOCUMENT.validate_python(msgpack.unpackb(data))
         if document[0] != LEDGER_FORMAT:
             return BadLedger(f"format {document[0]}")
-        ids = [item[0] for item in document[1]]
+        holder_ids = [item[0] for item in document[1]]
         holders = {item[0]: HolderRecord(item[1], item[2]) for item in document[1]}
-        buckets = {item[0]: _record(item, ids) for item in document[2]}
+        buckets = {item[0]: _decode_bucket(item, holder_ids) for item in document[2]}
     except (ValidationError, ValueError, IndexError, RecursionError) as error:
         return BadLedger(type(error).__name__)
     except msgpack.exceptions.UnpackException as error:
@@ -76,7 +76,7 @@
     return GroupLedger(holders, buckets)
 
 
-def _bucket(name: str, record: BucketRecord, index_by_id: dict[str, int]) -> Any:
+def _encode_bucket(name: str, record: BucketRecord, index_by_id: dict[str, int]) -> Any:
     holdings = [
         (
             index_by_id[holder],
@@ -99,9 +99,9 @@
     )
 
 
-def _record(item: _Bucket, ids: list[str]) -> BucketRecord:
+def _decode_bucket(item: _BucketItem, holder_ids: list[str]) -> BucketRecord:
     holdings = {
-        ids[index]: Holding(Share(rate, burst), Share(need_rate, need_burst))
+        holder_ids[index]: Holding(Share(rate, burst), Share(need_rate, need_burst))
         for index, rate, burst, need_rate, need_burst in item[6]
     }
     return BucketRecord(Total(item[1], item[2], item[3]), item[4], item[5], holdings)
--- a/damaskbay/core/rates/const.py
+++ b/damaskbay/core/rates/const.py
@@ -1,23 +1,23 @@
-"""Sizes and times of the counting of rate and burst."""
+"""Constants of the fleet-wide rate limits."""
 
 from typing import Final
 
 MILLIS: Final = 1000
-"""Thousandths of a token in one token; ledgers count in whole thousandths."""
+"""Thousandths per token; ledgers store integer thousandths."""
 
 LEDGER_KEY_PREFIX: Final = "rates/group/"
 LEDGER_FORMAT: Final = 1
 
 DEFAULT_GROUPS: Final = 16
 DEFAULT_HOLDERS: Final = 2
-"""Holders of one group in a failure domain."""
+"""Holders per group and failure domain."""
 DEFAULT_VALIDITY_S: Final = 900.0
 DEFAULT_MARGIN_S: Final = 10.0
 DEFAULT_RENEW_S: Final = 15.0
 DEFAULT_POLL_S: Final = 1.0
 DEFAULT_WRITE_GAP_S: Final = 0.2
-DEFAULT_WRITE_REFILL_S: Final = 3.0
-DEFAULT_WRITE_RESERVE: Final = 5
+DEFAULT_WRITE_INTERVAL_S: Final = 3.0
+DEFAULT_WRITE_BURST: Final = 5
 DEFAULT_HEADROOM: Final = 1.25
 DEFAULT_FLOOR_SHARE: Final = 1 / 16
 DEFAULT_FLOOR_IDLE_S: Final = 3600.0
@@ -26,39 +26,42 @@
 DEFAULT_STEP_DOWN_S: Final = 3.0
 DEFAULT_CLAIM_WAIT_S: Final = 1.0
 
-CONFLICT_SPREAD_S: Final = 0.2
-CALL_RETRY_S: Final = 1.0
-"""Pause after a platform call that failed."""
+CONFLICT_DELAY_MAX_S: Final = 0.2
+REQUEST_RETRY_DELAY_S: Final = 1.0
+"""Delay after a failed request to the platform."""
 
 TOKEN_VALIDITY_S: Final = 2.0
 TOKEN_MARGIN_S: Final = 0.5
-GRANT_PART: Final = 4
-"""A prefetch takes at most this part (one in N) of the holder's level."""
+PREFETCH_LEVEL_DIVISOR: Final = 4
+"""A prefetch is granted at most the holder's level divided by this."""
 
-SILENT_RENEWALS: Final = 3
-CONTACT_POLLS: Final = 4
-"""Polls that may fail before an observer's waiting starts anew."""
-SHRINK_FACTOR: Final = 1.2
-"""A share is lowered unasked only when it is larger than needed by this factor."""
+UNRESPONSIVE_AFTER_RENEWALS: Final = 3
+CONTACT_TIMEOUT_POLLS: Final = 4
+"""Poll intervals without a reply after which contact with the platform is lost.
 
-NEED_GRID: Final = 1.1
-"""Needs are rounded up to powers of this."""
-NEAR_BELOW: Final = 0.9
-NEAR_ABOVE: Final = 1.25
-"""A share this near to its fair part stays as it is."""
-IN_USE_S: Final = 0.5
-"""For how long tokens at daemons may keep part of a burst in use."""
-NEED_CHANGE: Final = 1.5
-"""A need that changed by this factor is worth a write of its own."""
+The time for which a holder was seen unchanged then starts again from 0.
+"""
+EXCESS_SHARE_FACTOR: Final = 1.2
+"""A share is lowered, without scarcity, only above its need times this factor."""
+
+NEED_STEP_FACTOR: Final = 1.1
+"""Needs are rounded up to powers of this factor."""
+FAIR_SHARE_MIN_FACTOR: Final = 0.9
+FAIR_SHARE_MAX_FACTOR: Final = 1.25
+"""A share stays unchanged between these multiples of its fair share."""
+TOKEN_HOLD_S: Final = 0.5
+"""Time for which daemons may hold granted tokens, which occupy part of a burst."""
+NEED_CHANGE_FACTOR: Final = 1.5
+"""A need that changed by more than this factor is written to the ledger at once."""
 
 PREFETCH_S: Final = 0.75
 PREFETCH_RETRY_S: Final = 0.25
-IDLE_LOT_S: Final = 1.2
+LOT_IDLE_TIMEOUT_S: Final = 1.2
 STOCK_DECAY_S: Final = 2.0
 BLOCK_MIN_S: Final = 0.02
 BLOCK_MAX_S: Final = 0.25
 ASK_TIMEOUT_S: Final = 1.3
-TIMEOUTS_TO_AVOID: Final = 2
+AVOID_AFTER_TIMEOUTS: Final = 2
 AVOID_MIN_S: Final = 2.0
 AVOID_MAX_S: Final = 30.0
 MAX_NEEDED_TOKENS: Final = 10_000
--- a/damaskbay/core/rates/demand.py
+++ b/damaskbay/core/rates/demand.py
@@ -1,101 +1,114 @@
-"""How much of a bucket a holder needs, and what part of it is fair."""
+"""Estimates of the demand for a bucket, and max-min fair shares."""
 
 import math
 from collections.abc import Mapping
 
-BIN_S = 1.0
-STEADY_S = 15.0
+SAMPLE_S = 1.0
+STEADY_DECAY_S = 15.0
 
 
-class Demand:
+class DemandEstimator:
     """
-    Follows the requests for one bucket: their rate, and spikes beside it.
+    Estimate of the call rate of one bucket, and of the spikes above that rate.
 
-    Each as it is lately and as the highest of a longer time. A spike is how many
-    tokens requests take beside a steady rate: the depth of a bucket that drains
-    at that rate.
+    Both are given as a recent value and as a slowly decaying peak. A spike is the
+    number of tokens needed above a steady rate: the level of a leaky bucket that
+    drains at that rate.
     """
 
-    def __init__(self, decay_s: float, keep_decay_s: float, now: float) -> None:
-        self.last_at = float("-inf")
+    def __init__(self, decay_s: float, peak_decay_s: float, now: float) -> None:
+        self.last_call_at = float("-inf")
         self._decay_s = decay_s
-        self._keep_decay_s = keep_decay_s
-        self._started_at = now
-        self._count = 0
-        self._per_s = 0.0
+        self._peak_decay_s = peak_decay_s
+        self._sample_started_at = now
+        self._sample_count = 0
+        self._recent_per_s = 0.0
         self._steady_per_s = 0.0
-        self._bins = 0
-        self._kept_per_s = 0.0
-        self._at = now
-        self._depth = 0.0
+        self._samples = 0
+        self._peak_per_s = 0.0
+        self._updated_at = now
+        self._leaky_level = 0.0
         self._spike = 0.0
-        self._kept_spike = 0.0
+        self._peak_spike = 0.0
 
-    def add(self, count: int, drain_per_s: float, most: float, now: float) -> None:
-        """Count requests, admitted or not; a spike is never above `most`."""
+    def add(self, count: int, drain_per_s: float, max_spike: float, now: float) -> None:
+        """Count calls, admitted or refused; a spike is limited to `max_spike`."""
         if count <= 0:
             return
-        self._roll(now)
-        self._count += count
-        self.last_at = now
+        self._close_sample(now)
+        self._sample_count += count
+        self.last_call_at = now
         self._spike = self.spike_tokens(now)
-        self._kept_spike = self.kept_spike_tokens(now)
-        drained = max(0.0, now - self._at) * max(drain_per_s, self._per_s)
-        self._at = now
-        self._depth = min(max(0.0, self._depth - drained) + count, most)
-        self._spike = max(self._spike, self._depth)
-        self._kept_spike = max(self._kept_spike, self._depth)
+        self._peak_spike = self.peak_spike_tokens(now)
+        drained = max(0.0, now - self._updated_at) * max(
+            drain_per_s, self._recent_per_s
+        )
+        self._updated_at = now
+        self._leaky_level = min(
+            max(0.0, self._leaky_level - drained) + count, max_spike
+        )
+        self._spike = max(self._spike, self._leaky_level)
+        self._peak_spike = max(self._peak_spike, self._leaky_level)
 
     def rate_per_s(self, now: float) -> float:
-        """Return the rate lately."""
-        self._roll(now)
-        return max(self._per_s, self._count / BIN_S / 2)
+        """Return the recent rate, calls per second."""
+        self._close_sample(now)
+        return max(self._recent_per_s, self._sample_count / SAMPLE_S / 2)
 
-    def kept_rate_per_s(self, now: float) -> float:
-        """Return the highest steady rate of a longer time."""
-        self._roll(now)
-        return self._kept_per_s
+    def peak_rate_per_s(self, now: float) -> float:
+        """Return the decaying peak of the steady rate, calls per second."""
+        self._close_sample(now)
+        return self._peak_per_s
 
     def spike_tokens(self, now: float) -> float:
-        """Return the greatest spike lately."""
-        return self._spike * self._left(self._at, self._decay_s, now)
+        """Return the largest recent spike, in tokens."""
+        return self._spike * self._decay_factor(self._updated_at, self._decay_s, now)
 
-    def kept_spike_tokens(self, now: float) -> float:
-        """Return the greatest spike of a longer time."""
-        return self._kept_spike * self._left(self._at, self._keep_decay_s, now)
+    def peak_spike_tokens(self, now: float) -> float:
+        """Return the decaying peak of the spikes, in tokens."""
+        return self._peak_spike * self._decay_factor(
+            self._updated_at, self._peak_decay_s, now
+        )
 
-    def _left(self, since: float, decay_s: float, now: float) -> float:
+    def _decay_factor(self, since: float, decay_s: float, now: float) -> float:
         return math.exp(-max(0.0, now - since) / decay_s)
 
-    def _roll(self, now: float) -> None:
-        elapsed_s = now - self._started_at
-        if elapsed_s < BIN_S:
+    def _close_sample(self, now: float) -> None:
+        elapsed_s = now - self._sample_started_at
+        if elapsed_s < SAMPLE_S:
             return
-        measured = self._count / elapsed_s
-        if measured > 2 * self._per_s:
-            self._per_s = (measured + self._per_s) / 2
+        measured = self._sample_count / elapsed_s
+        if measured > 2 * self._recent_per_s:
+            self._recent_per_s = (measured + self._recent_per_s) / 2
         else:
-            left = self._left(self._started_at, self._decay_s, now)
-            self._per_s = measured + (self._per_s - measured) * left
-        self._bins += 1
-        left = min(self._left(self._started_at, STEADY_S, now), 1 - 1 / self._bins)
-        self._steady_per_s = measured + (self._steady_per_s - measured) * left
-        kept = self._kept_per_s * self._left(self._started_at, self._keep_decay_s, now)
-        self._kept_per_s = max(kept, self._steady_per_s)
-        self._count = 0
-        self._started_at = now
-
-
-def fair_parts(total: int, needs_by_holder: Mapping[str, int]) -> dict[str, int]:
+            remaining = self._decay_factor(self._sample_started_at, self._decay_s, now)
+            self._recent_per_s = measured + (self._recent_per_s - measured) * remaining
+        self._samples += 1
+        remaining = min(
+            self._decay_factor(self._sample_started_at, STEADY_DECAY_S, now),
+            1 - 1 / self._samples,
+        )
+        self._steady_per_s = measured + (self._steady_per_s - measured) * remaining
+        peak = self._peak_per_s * self._decay_factor(
+            self._sample_started_at, self._peak_decay_s, now
+        )
+        self._peak_per_s = max(peak, self._steady_per_s)
+        self._sample_count = 0
+        self._sample_started_at = now
+
+
+def max_min_fair_shares(
+    total: int, needs_by_holder: Mapping[str, int]
+) -> dict[str, int]:
     """
-    Split a total max-min fairly: small needs in full, the rest in equal parts.
+    Return max-min fair shares: small needs in full, equal shares for the others.
 
-    The parts' sum never exceeds the total; equal arguments give equal parts.
+    The sum of the shares never exceeds `total`. The result is deterministic.
     """
-    parts: dict[str, int] = {}
-    left = max(0, total)
-    waiting = sorted(needs_by_holder.items(), key=lambda item: (item[1], item[0]))
-    for index, (holder, need) in enumerate(waiting):
-        parts[holder] = min(need, left // (len(waiting) - index))
-        left -= parts[holder]
-    return parts
+    shares: dict[str, int] = {}
+    remaining = max(0, total)
+    by_need = sorted(needs_by_holder.items(), key=lambda item: (item[1], item[0]))
+    for index, (holder, need) in enumerate(by_need):
+        shares[holder] = min(need, remaining // (len(by_need) - index))
+        remaining -= shares[holder]
+    return shares
--- a/damaskbay/core/rates/holder.py
+++ b/damaskbay/core/rates/holder.py
@@ -1,25 +1,25 @@
-"""The holder of one group: its buckets, its part of the ledger, its next write."""
+"""Holder of one group: its buckets, its shares in the ledger, its next write."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from damaskbay.core.rates.bucket import NO_SHARE, HolderBucket, Share
 from damaskbay.core.rates.const import (
-    CONTACT_POLLS,
-    GRANT_PART,
+    CONTACT_TIMEOUT_POLLS,
     MILLIS,
-    NEED_CHANGE,
+    NEED_CHANGE_FACTOR,
+    PREFETCH_LEVEL_DIVISOR,
 )
-from damaskbay.core.rates.demand import Demand
-from damaskbay.core.rates.holding import Claims, Proposal, Settled
+from damaskbay.core.rates.demand import DemandEstimator
+from damaskbay.core.rates.holding import Claims, Proposal, ProposalOutcome
 from damaskbay.core.rates.ledger import GroupLedger, LedgerDraft
-from damaskbay.core.rates.names import Total, newer, same_terms
+from damaskbay.core.rates.names import Total, equal_limits, newer_limit
 from damaskbay.core.rates.options import ShareOptions
 from damaskbay.core.rates.planner import (
     Need,
-    need_share,
-    silent_holders,
+    needed_share,
     target_share,
+    unresponsive_holders,
 )
 from damaskbay.core.rates.view import LedgerView
 
@@ -27,65 +27,65 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _BucketState:
     """
-    One bucket at this holder.
+    State of one bucket at this holder.
 
-    `total` is the newest known, `sized_for` the one that the confirmed share was
-    sized for. A claim at `vain_revision` of the ledger would bring nothing.
+    `total` is the newest known limit, `sized_for` the limit that the confirmed share
+    was sized for. At `exhausted_revision` of the ledger, a claim would gain nothing.
     """
 
     bucket: HolderBucket
-    demand: Demand
+    demand: DemandEstimator
     total: Total | None = None
     sized_for: Total | None = None
     unmet_by_grant: dict[str, int] = field(default_factory=dict)
-    vain_revision: int = -1
+    exhausted_revision: int = -1
 
     @property
     def unmet_tokens(self) -> int:
-        """Return the tokens asked for in vain since the last write."""
+        """Return the number of needed tokens not granted since the last write."""
         return sum(self.unmet_by_grant.values())
 
 
-class _Writing:
-    """A draft and what goes with it."""
+class _PlannedWrite:
+    """A draft of the ledger, its effects, and whether it is worth a write."""
 
     def __init__(self, draft: LedgerDraft) -> None:
         self.draft = draft
         self.handed_by_bucket: dict[str, int] = {}
         self.taken_by_bucket: dict[str, int] = {}
         self.totals_by_bucket: dict[str, Total] = {}
-        self.worth_it = False
+        self.is_due = False
 
 
 class GroupHolder:
-    """Grants tokens of one group's buckets and keeps its shares in the ledger."""
+    """Holder of one group, which grants tokens and keeps its shares in the ledger."""
 
     def __init__(self, holder_id: str, options: ShareOptions) -> None:
         self.holder_id = holder_id
-        self.view = LedgerView(contact_s=options.poll_s * CONTACT_POLLS)
+        self.view = LedgerView(contact_s=options.poll_s * CONTACT_TIMEOUT_POLLS)
         self.claims = Claims(holder_id, self.view, options.validity_s)
         self._options = options
-        self._held_by_bucket: dict[str, _Held] = {}
-        self._leaving = False
+        self._states_by_bucket: dict[str, _BucketState] = {}
+        self._releasing = False
 
-    def holds_any(self) -> bool:
-        """Tell whether the ledger shows this holder."""
+    def in_ledger(self) -> bool:
+        """Return whether the ledger contains this holder."""
         return self.holder_id in self.view.ledger.holders_by_id
 
     def in_use(self) -> bool:
-        """Tell whether any daemon ever asked this holder."""
-        return bool(self._held_by_bucket)
+        """Return whether any daemon ever sent a request to this holder."""
+        return bool(self._states_by_bucket)
 
-    def claimable(self, bucket: str) -> bool:
-        """Tell whether tokens that were asked for in vain may be free."""
-        held = self._held_by_bucket.get(bucket)
-        if held is None or not held.unmet_tokens:
+    def may_claim(self, bucket: str) -> bool:
+        """Return whether a claim may yield tokens that were needed but not granted."""
+        state = self._states_by_bucket.get(bucket)
+        if state is None or not state.unmet_tokens:
             return False
         if self.view.revision == 0:
             return True
-        if held.vain_revision == self.view.revision:
+        if state.exhausted_revision == self.view.revision:
             return False
         record = self.view.ledger.buckets_by_name.get(bucket)
         if record is None:
@@ -94,12 +94,12 @@
         free = record.free
         return free.burst_millis >= MILLIS or (lacks_rate and free.rate_millis > 0)
 
-    def any_claimable(self) -> bool:
-        """Tell whether a write now may bring what was asked for in vain."""
-        return any(self.claimable(name) for name in self._held_by_bucket)
+    def may_claim_any(self) -> bool:
+        """Return whether a claim for any bucket may yield tokens not granted before."""
+        return any(self.may_claim(name) for name in self._states_by_bucket)
 
-    def surely_exceeded(self, bucket: str, now: float) -> bool:
-        """Tell whether a lack of tokens here means that the rate is exceeded."""
+    def rate_exceeded(self, bucket: str, now: float) -> bool:
+        """Return whether a lack of tokens here proves that the rate is exceeded."""
         if not self.claims.valid(now):
             return False
         record = self.view.ledger.buckets_by_name.get(bucket)
@@ -109,249 +109,264 @@
         return self.view.in_contact(now) or self.claims.share(bucket) == total
 
     def rate_per_s(self, bucket: str) -> float:
-        """Return the rate of the holder's share."""
+        """Return the rate of the holder's share, tokens per second."""
         return self.claims.share(bucket).rate_millis / MILLIS
 
     def grant(
         self, bucket: str, grant_id: str, needed: int, wanted: int, now: float
     ) -> int:
         """
-        Move tokens to a daemon: what it needs now, more only of a good level.
+        Grant up to `needed` tokens, up to `wanted` at a high level; return how many.
 
-        The daemon must drop them `token_validity_s` after it asked.
+        The daemon must drop them `token_validity_s` after it sent the request.
         """
-        held = self._held(bucket, now)
+        state = self._state(bucket, now)
         granted = 0
-        if self.claims.valid(now) and not self._leaving:
-            spread = int(held.bucket.level(now)) // GRANT_PART
+        if self.claims.valid(now) and not self._releasing:
+            prefetch_limit = int(state.bucket.level(now)) // PREFETCH_LEVEL_DIVISOR
             lapses_at = now + self._options.token_validity_s
             lapses_at += self._options.token_margin_s
-            count = max(needed, min(wanted, spread))
-            granted = held.bucket.grant(grant_id, count, lapses_at, now)
-        held.unmet_by_grant.pop(grant_id, None)
+            count = max(needed, min(wanted, prefetch_limit))
+            granted = state.bucket.grant(grant_id, count, lapses_at, now)
+        state.unmet_by_grant.pop(grant_id, None)
         if granted < needed:
-            held.unmet_by_grant[grant_id] = needed - granted
+            state.unmet_by_grant[grant_id] = needed - granted
         return granted
 
     def count(self, bucket: str, requests: int, now: float) -> None:
-        """Take note of requests that asked for the bucket at some daemon."""
-        held = self._held(bucket, now)
-        drain_per_s = held.bucket.share.rate_millis / MILLIS
-        most = held.total.burst_millis / MILLIS if held.total else requests
-        held.demand.add(requests, drain_per_s, most, now)
+        """Count calls that needed tokens of the bucket at some daemon."""
+        state = self._state(bucket, now)
+        drain_per_s = state.bucket.share.rate_millis / MILLIS
+        max_spike = state.total.burst_millis / MILLIS if state.total else requests
+        state.demand.add(requests, drain_per_s, max_spike, now)
 
     def close(self, bucket: str, grant_id: str, unused: int, now: float) -> None:
-        """Take unused tokens of a grant back."""
-        held = self._held_by_bucket.get(bucket)
-        if held is not None:
-            held.bucket.close(grant_id, unused, now)
+        """Close a grant and put its unused tokens back."""
+        state = self._states_by_bucket.get(bucket)
+        if state is not None:
+            state.bucket.close(grant_id, unused, now)
 
     def rescale(self, total_of: TotalOf, now: float) -> None:
-        """Scale shares down at once where the set in force says less."""
-        for name, held in self._held_by_bucket.items():
-            held.total = newer(held.total, total_of(name))
-            held.bucket.set_share(self._sure_share(name), now)
+        """Scale shares down at once if the active configuration set lowers limits."""
+        for name, state in self._states_by_bucket.items():
+            state.total = newer_limit(state.total, total_of(name))
+            state.bucket.set_share(self._confirmed_share(name), now)
 
     def renewal_due(self, now: float) -> bool:
-        """Tell whether the last confirmed renewal is old."""
+        """Return whether the last confirmed renewal is older than `renew_s`."""
         renewed_at = self.claims.valid_until - self._options.validity_s
         return now - renewed_at >= self._options.renew_s
 
     def plan(self, total_of: TotalOf, now: float) -> Proposal | None:
         """
-        Return what to write next, or None where no write is worth it.
+        Return the next proposal to write, or None if no write is needed.
 
-        That is the same again while the last write's fate is not known.
+        While the outcome of the last write is unknown, the same proposal is returned.
         """
-        self._leaving = False
+        self._releasing = False
         self.rescale(total_of, now)
         if self.claims.open_proposal is not None:
             return self.claims.open_proposal
-        writing = self._writing(now)
-        writing.worth_it = self.renewal_due(now)
+        write = self._start_write(now)
+        write.is_due = self.renewal_due(now)
         for holder in self.view.lapsed(self._options.margin_s, now):
             if holder != self.holder_id:
-                writing.draft.remove_holder(holder)
-                writing.worth_it = True
-        silent = silent_holders(self.view, self._options, now) - {self.holder_id}
-        names = set(self.view.ledger.buckets_by_name) | set(self._held_by_bucket)
+                write.draft.remove_holder(holder)
+                write.is_due = True
+        unresponsive = unresponsive_holders(self.view, self._options, now) - {
+            self.holder_id
+        }
+        names = set(self.view.ledger.buckets_by_name) | set(self._states_by_bucket)
         for name in sorted(names):
-            self._plan_total(writing, name, total_of(name))
-            if name in self._held_by_bucket and writing.draft.record(name):
-                self._plan_share(writing, name, silent, now)
-        if not writing.worth_it:
+            self._plan_total(write, name, total_of(name))
+            if name in self._states_by_bucket and write.draft.record(name):
+                self._plan_share(write, name, unresponsive, now)
+        if not write.is_due:
             return None
-        for held in self._held_by_bucket.values():
-            held.unmet_by_grant.clear()
+        for state in self._states_by_bucket.values():
+            state.unmet_by_grant.clear()
         sequence = self.claims.next_sequence()
         validity_s = self._options.validity_s
-        writing.draft.renew(self.holder_id, sequence, validity_s)
-        return self._propose(writing, sequence, now)
+        write.draft.renew(self.holder_id, sequence, validity_s)
+        return self._propose(write, sequence, now)
 
-    def leave(self, now: float) -> Proposal | None:
+    def release_all(self, now: float) -> Proposal | None:
         """
-        Give up all shares; return what to write, None while nothing is to do.
+        Stop granting and give up all shares; return the proposal to write, if any.
 
-        No grant is made any more. Shares go back once no granted token can be
-        spent any more, so call again until `holds_any` is false.
+        Shares are given back once no granted token can be spent any more, so call
+        this again until `in_ledger` returns False.
         """
-        self._leaving = True
+        self._releasing = True
         outstanding = 0
-        for name, held in self._held_by_bucket.items():
-            held.bucket.set_share(self._sure_share(name), now)
-            held.bucket.level(now)
-            outstanding += held.bucket.outstanding
+        for name, state in self._states_by_bucket.items():
+            state.bucket.set_share(self._confirmed_share(name), now)
+            state.bucket.level(now)
+            outstanding += state.bucket.outstanding
         if self.claims.open_proposal is not None:
             return self.claims.open_proposal
-        if outstanding or not self.holds_any():
+        if outstanding or not self.in_ledger():
             return None
-        writing = self._writing(now)
-        for name, held in self._held_by_bucket.items():
-            if writing.draft.record(name) is not None:
-                self._lower(writing, name, held, NO_SHARE, now)
-        writing.draft.remove_holder(self.holder_id)
-        return self._propose(writing, self.claims.next_sequence(), now)
-
-    def written(self, proposal: Proposal, revision: int, now: float) -> None:
-        """Take in that a write took effect."""
+        write = self._start_write(now)
+        for name, state in self._states_by_bucket.items():
+            if write.draft.record(name) is not None:
+                self._lower(write, name, state, NO_SHARE, now)
+        write.draft.remove_holder(self.holder_id)
+        return self._propose(write, self.claims.next_sequence(), now)
+
+    def write_succeeded(self, proposal: Proposal, revision: int, now: float) -> None:
+        """Record that a write succeeded."""
         self.settle(proposal.ledger, revision, now)
 
-    def failed(self, proposal: Proposal, now: float) -> None:
-        """Take in that a write surely took and takes no effect."""
-        self._settled(self.claims.without_effect(proposal), now)
+    def write_failed(self, proposal: Proposal, now: float) -> None:
+        """Record that a write certainly has no effect."""
+        self._apply_outcome(self.claims.discard(proposal), now)
 
     def settle(self, ledger: GroupLedger, revision: int, now: float) -> None:
-        """Take in the ledger as it stands."""
-        self._settled(self.claims.settle(ledger, revision, now), now)
+        """Record the ledger as read."""
+        self._apply_outcome(self.claims.settle(ledger, revision, now), now)
 
-    def _settled(self, settled: Settled, now: float) -> None:
-        for name, held in self._held_by_bucket.items():
-            held.sized_for = settled.totals_by_bucket.get(name, held.sized_for)
+    def _apply_outcome(self, outcome: ProposalOutcome, now: float) -> None:
+        for name, state in self._states_by_bucket.items():
+            state.sized_for = outcome.totals_by_bucket.get(name, state.sized_for)
             record = self.view.ledger.buckets_by_name.get(name)
-            held.total = newer(held.total, record.total if record else None)
-            held.bucket.set_share(self._sure_share(name), now)
-            tokens = settled.tokens_by_bucket.get(name, 0)
-            held.bucket.add_tokens(tokens / MILLIS, now)
-
-    def _held(self, bucket: str, now: float) -> _Held:
-        held = self._held_by_bucket.get(bucket)
-        if held is None:
+            state.total = newer_limit(state.total, record.total if record else None)
+            state.bucket.set_share(self._confirmed_share(name), now)
+            tokens = outcome.tokens_by_bucket.get(name, 0)
+            state.bucket.add_tokens(tokens / MILLIS, now)
+
+    def _state(self, bucket: str, now: float) -> _BucketState:
+        state = self._states_by_bucket.get(bucket)
+        if state is None:
             options = self._options
-            demand = Demand(options.demand_decay_s, options.keep_decay_s, now)
-            held = _Held(HolderBucket(NO_SHARE, 0, now), demand)
-            self._held_by_bucket[bucket] = held
-        return held
+            demand = DemandEstimator(options.demand_decay_s, options.keep_decay_s, now)
+            state = _BucketState(HolderBucket(NO_SHARE, 0, now), demand)
+            self._states_by_bucket[bucket] = state
+        return state
 
-    def _sure_share(self, bucket: str) -> Share:
-        """Return the sure share, less in proportion where the total is less."""
+    def _confirmed_share(self, bucket: str) -> Share:
+        """Return the confirmed share, scaled down if the limit was lowered."""
         share = self.claims.share(bucket)
-        if self._leaving:
+        if self._releasing:
             return Share(0, share.burst_millis)
-        held = self._held_by_bucket[bucket]
-        if held.total is None or held.sized_for is None:
+        state = self._states_by_bucket[bucket]
+        if state.total is None or state.sized_for is None:
             return share
         return Share(
             _scaled(
-                share.rate_millis, held.total.rate_millis, held.sized_for.rate_millis
+                share.rate_millis, state.total.rate_millis, state.sized_for.rate_millis
             ),
             _scaled(
-                share.burst_millis, held.total.burst_millis, held.sized_for.burst_millis
+                share.burst_millis,
+                state.total.burst_millis,
+                state.sized_for.burst_millis,
             ),
         )
 
-    def _writing(self, now: float) -> _Writing:
+    def _start_write(self, now: float) -> _PlannedWrite:
         def observed_s(bucket: str) -> float:
             return self.view.observed_s(bucket, now)
 
-        return _Writing(LedgerDraft(self.view.ledger, observed_s))
+        return _PlannedWrite(LedgerDraft(self.view.ledger, observed_s))
 
-    def _plan_total(self, writing: _Writing, name: str, said: Total | None) -> None:
-        """Bring the record's total up to the newest set that is known here."""
-        record = writing.draft.record(name)
+    def _plan_total(
+        self, write: _PlannedWrite, name: str, configured: Total | None
+    ) -> None:
+        """Update the limit in the record to the newest version known here."""
+        record = write.draft.record(name)
         known = record.total if record else None
-        total = newer(known, said)
+        total = newer_limit(known, configured)
         if total is None or (record is None and total.burst_millis == 0):
             return
-        if record is None or not same_terms(record.total, total):
+        if record is None or not equal_limits(record.total, total):
             first_tokens = not self.view.lost
-            writing.draft.adopt_total(name, total, first_tokens=first_tokens)
-            writing.worth_it = True
-        writing.totals_by_bucket[name] = total
+            write.draft.adopt_total(name, total, first_tokens=first_tokens)
+            write.is_due = True
+        write.totals_by_bucket[name] = total
 
     def _plan_share(
-        self, writing: _Writing, name: str, silent: frozenset[str], now: float
+        self, write: _PlannedWrite, name: str, unresponsive: frozenset[str], now: float
     ) -> None:
-        held = self._held_by_bucket[name]
-        record = writing.draft.record(name)
+        state = self._states_by_bucket[name]
+        record = write.draft.record(name)
         assert record is not None
-        sure = record.share_of(self.holder_id).within(self._sure_share(name))
-        need = self._need(held, record.total, now)
+        confirmed = record.share_of(self.holder_id).within(self._confirmed_share(name))
+        need = self._need(state, record.total, now)
         chosen = target_share(
-            record, self.holder_id, need, silent=silent, options=self._options
+            record,
+            self.holder_id,
+            need,
+            unresponsive=unresponsive,
+            options=self._options,
         )
         target = chosen.share
-        outstanding = held.bucket.outstanding * MILLIS
-        lowered = sure.within(
+        outstanding = state.bucket.outstanding * MILLIS
+        lowered = confirmed.within(
             Share(target.rate_millis, max(target.burst_millis, outstanding))
         )
         if lowered != record.share_of(self.holder_id):
-            self._lower(writing, name, held, lowered, now)
-            writing.worth_it = True
-        brought = False
+            self._lower(write, name, state, lowered, now)
+            write.is_due = True
+        has_claimed = False
         missing = Share(
             max(0, target.rate_millis - lowered.rate_millis),
             max(0, target.burst_millis - lowered.burst_millis),
         )
         if missing != NO_SHARE:
-            moved, tokens = writing.draft.claim(name, self.holder_id, missing)
-            writing.taken_by_bucket[name] = tokens
-            writing.worth_it = writing.worth_it or moved != NO_SHARE
-            brought = brought or moved != NO_SHARE
-        held.vain_revision = -1 if brought else self.view.revision
-        told = writing.draft.need_of(name, self.holder_id)
-        writing.draft.set_need(name, self.holder_id, need.now)
-        if chosen.pressed and _differ(told, need.now):
-            writing.worth_it = True
-
-    def _need(self, held: _Held, total: Total, now: float) -> Need:
-        demand, options = held.demand, self._options
-        lately = (demand.rate_per_s(now), demand.spike_tokens(now))
-        kept = (demand.kept_rate_per_s(now), demand.kept_spike_tokens(now))
+            moved, tokens = write.draft.claim(name, self.holder_id, missing)
+            write.taken_by_bucket[name] = tokens
+            write.is_due = write.is_due or moved != NO_SHARE
+            has_claimed = has_claimed or moved != NO_SHARE
+        state.exhausted_revision = -1 if has_claimed else self.view.revision
+        published = write.draft.need_of(name, self.holder_id)
+        write.draft.set_need(name, self.holder_id, need.current)
+        if chosen.is_scarce and _differs(published, need.current):
+            write.is_due = True
+
+    def _need(self, state: _BucketState, total: Total, now: float) -> Need:
+        demand, options = state.demand, self._options
+        recent = (demand.rate_per_s(now), demand.spike_tokens(now))
+        peak = (demand.peak_rate_per_s(now), demand.peak_spike_tokens(now))
         return Need(
-            need_share(*lately, total, options),
-            need_share(*kept, total, options),
-            held.unmet_tokens,
-            used_lately=now - demand.last_at < options.floor_idle_s,
+            needed_share(*recent, total, options),
+            needed_share(*peak, total, options),
+            state.unmet_tokens,
+            used_recently=now - demand.last_call_at < options.floor_idle_s,
         )
 
     def _lower(
-        self, writing: _Writing, name: str, held: _Held, share: Share, now: float
+        self,
+        write: _PlannedWrite,
+        name: str,
+        state: _BucketState,
+        share: Share,
+        now: float,
     ) -> None:
-        """Give up part of a share, with its part of the tokens."""
-        old = held.bucket.share.burst_millis
-        freed = max(0, old - share.burst_millis)
-        level = held.bucket.level(now)
-        above = level + held.bucket.outstanding - share.burst_millis / MILLIS
-        wanted = max(above, level * freed / max(1, old))
+        """Reduce a share to `share` and release its part of the tokens."""
+        old_burst = state.bucket.share.burst_millis
+        freed = max(0, old_burst - share.burst_millis)
+        level = state.bucket.level(now)
+        above_burst = level + state.bucket.outstanding - share.burst_millis / MILLIS
+        wanted = max(above_burst, level * freed / max(1, old_burst))
         limit = min(wanted, freed / MILLIS)
-        handed = int(held.bucket.remove_tokens(max(0.0, limit), now) * MILLIS)
-        writing.draft.lower(name, self.holder_id, share, handed)
-        writing.handed_by_bucket[name] = handed
+        released = int(state.bucket.remove_tokens(max(0.0, limit), now) * MILLIS)
+        write.draft.lower(name, self.holder_id, share, released)
+        write.handed_by_bucket[name] = released
 
-    def _propose(self, writing: _Writing, sequence: int, now: float) -> Proposal:
+    def _propose(self, write: _PlannedWrite, sequence: int, now: float) -> Proposal:
         proposal = Proposal(
-            writing.draft.finish(),
+            write.draft.finish(),
             self.view.revision,
             sequence,
             now,
-            leaving=self._leaving,
-            handed_by_bucket=writing.handed_by_bucket,
-            taken_by_bucket=writing.taken_by_bucket,
-            totals_by_bucket=writing.totals_by_bucket,
+            leaving=self._releasing,
+            handed_by_bucket=write.handed_by_bucket,
+            taken_by_bucket=write.taken_by_bucket,
+            totals_by_bucket=write.totals_by_bucket,
         )
         self.claims.propose(proposal)
-        for name, held in self._held_by_bucket.items():
-            held.bucket.set_share(self._sure_share(name), now)
+        for name, state in self._states_by_bucket.items():
+            state.bucket.set_share(self._confirmed_share(name), now)
         return proposal
 
 
@@ -361,8 +376,8 @@
     return value * total // sized_for
 
 
-def _differ(told: Share, need: Share) -> bool:
-    """Tell whether a need differs enough from what was told to cost a write."""
-    rates = (told.rate_millis, need.rate_millis)
-    bursts = (told.burst_millis, need.burst_millis)
-    return any(max(pair) > min(pair) * NEED_CHANGE for pair in (rates, bursts))
+def _differs(published: Share, need: Share) -> bool:
+    """Return whether a need differs enough from the published one for a write."""
+    rates = (published.rate_millis, need.rate_millis)
+    bursts = (published.burst_millis, need.burst_millis)
+    return any(max(pair) > min(pair) * NEED_CHANGE_FACTOR for pair in (rates, bursts))
--- a/damaskbay/core/rates/holding.py
+++ b/damaskbay/core/rates/holding.py
@@ -1,4 +1,4 @@
-"""What a holder surely has: confirmed shares, open proposals, validity."""
+"""Confirmed shares of a holder, its open proposal and its validity."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -12,12 +12,13 @@
 @dataclass(frozen=True, slots=True)
 class Proposal:
     """
-    A ledger to be written, with what it means for its writer.
+    A ledger to be written, with the effects on its writer.
 
-    `handed_by_bucket` are tokens that left the writer's buckets already,
-    `taken_by_bucket` those that come once the write surely took effect; both in
-    thousandths. `totals_by_bucket` is what the writer's shares are sized for.
-    `made_at` is before the write was sent, in the writer's monotonic seconds.
+    `handed_by_bucket` are the tokens already removed from the writer's buckets,
+    `taken_by_bucket` those to be added once the write is confirmed; both in
+    thousandths. `totals_by_bucket` are the limits that the writer's shares are
+    sized for. `made_at` is a time before the write was sent, in seconds of the
+    writer's monotonic clock.
     """
 
     ledger: GroupLedger
@@ -31,12 +32,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settled:
+class ProposalOutcome:
     """
-    What became of a proposal.
+    The outcome of a proposal for the writer's buckets.
 
-    Tokens (thousandths) that come or come back to the buckets, and the totals
-    that the shares are now sized for.
+    Tokens (thousandths) to add to the buckets, either claimed or given back, and the
+    limits that the shares are now sized for.
     """
 
     tokens_by_bucket: Mapping[str, int] = field(default_factory=dict)
@@ -45,12 +46,12 @@
 
 class Claims:
     """
-    Follows a holder's own writes to the ledger, whatever became of their answers.
+    State of a holder's writes to the ledger, also when their replies are lost.
 
-    A proposal stays open until the ledger's revision exceeds the one it expects:
-    until then it may still take effect, so the holder counts on no more than the
-    smaller of the confirmed share and the proposed one. While it is open the
-    same proposal is sent again and no other.
+    A proposal is open until the ledger's revision exceeds the one it expects. Until
+    then it may still take effect, so the holder uses only the minimum of the
+    confirmed share and the proposed one. While a proposal is open, only this one is
+    sent again.
     """
 
     def __init__(self, holder_id: str, view: LedgerView, validity_s: float) -> None:
@@ -62,16 +63,16 @@
         self._sequence = 0
 
     def next_sequence(self) -> int:
-        """Return a number that no other write of this holder has."""
+        """Return a new sequence number, unique to one write of this holder."""
         self._sequence += 1
         return self._sequence
 
     def valid(self, now: float) -> bool:
-        """Tell whether the holder may spend; ask at each decision."""
+        """Return whether the holder may grant tokens; check this before each grant."""
         return now < self.valid_until
 
     def share(self, bucket: str) -> Share:
-        """Return the share that is surely the holder's."""
+        """Return the share that is safe to use whatever the result of an open write."""
         share = self._view.ledger.share(bucket, self.holder_id)
         proposal = self.open_proposal
         if proposal is None:
@@ -79,37 +80,37 @@
         return share.within(proposal.ledger.share(bucket, self.holder_id))
 
     def propose(self, proposal: Proposal) -> None:
-        """Count on no more than this proposal leaves, from now on."""
+        """Set the open proposal, which limits the shares from now on."""
         self.open_proposal = proposal
 
-    def without_effect(self, proposal: Proposal) -> Settled:
-        """Forget a proposal that surely took and takes no effect."""
+    def discard(self, proposal: Proposal) -> ProposalOutcome:
+        """Discard a proposal that certainly has no effect."""
         self.open_proposal = None
-        return Settled(proposal.handed_by_bucket)
+        return ProposalOutcome(proposal.handed_by_bucket)
 
-    def settle(self, ledger: GroupLedger, revision: int, now: float) -> Settled:
+    def settle(self, ledger: GroupLedger, revision: int, now: float) -> ProposalOutcome:
         """
-        Take in the ledger as it stands and settle the proposal if it is decided.
+        Record the ledger as read and settle the open proposal if it is decided.
 
-        Return tokens that come or come back to the holder's buckets.
+        Return the outcome of the proposal, empty if there is none or it is open.
         """
         if revision < self._view.revision and revision != 0:
-            return Settled()
+            return ProposalOutcome()
         self._view.update(ledger, revision, now)
-        own = ledger.holders_by_id.get(self.holder_id)
-        if own is None:
+        own_record = ledger.holders_by_id.get(self.holder_id)
+        if own_record is None:
             self.valid_until = float("-inf")
         proposal = self.open_proposal
         if proposal is None or not self._decided(proposal, revision):
-            return Settled()
+            return ProposalOutcome()
         self.open_proposal = None
-        if own is None:
-            return Settled()
-        if proposal.sequence != own.sequence:
-            return Settled(proposal.handed_by_bucket)
-        until = proposal.made_at + self._validity_s
-        self.valid_until = max(self.valid_until, until)
-        return Settled(proposal.taken_by_bucket, proposal.totals_by_bucket)
+        if own_record is None:
+            return ProposalOutcome()
+        if proposal.sequence != own_record.sequence:
+            return ProposalOutcome(proposal.handed_by_bucket)
+        valid_until = proposal.made_at + self._validity_s
+        self.valid_until = max(self.valid_until, valid_until)
+        return ProposalOutcome(proposal.taken_by_bucket, proposal.totals_by_bucket)
 
     def _decided(self, proposal: Proposal, revision: int) -> bool:
         if revision == 0:
--- a/damaskbay/core/rates/ledger.py
+++ b/damaskbay/core/rates/ledger.py
@@ -1,10 +1,10 @@
 """
-The ledger of one group of buckets, as the platform keeps it.
+The ledger of one group of buckets, as stored in the platform.
 
-A share belongs to one holder process. What no holder has is free: total less all
-shares, computed and never stored. The free part accrues tokens as a holder's
-would; `spare_millis` are those that were surely there when the record's free part
-last changed, which `mark` tells apart.
+A share belongs to one holder process. The free share, which no holder has, is the
+limit minus all shares; it is computed and never stored. It accrues tokens like the
+share of a holder: `spare_millis` are the tokens it had for certain when it last
+changed, and `mark` is incremented with each such change.
 """
 
 from collections.abc import Callable, Mapping
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Holding:
-    """One holder's share of a bucket and what it needs."""
+    """A holder's share of a bucket and the share that it needs."""
 
     share: Share
     need: Share = NO_SHARE
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BucketRecord:
-    """One bucket: total, free tokens and the holdings."""
+    """One bucket: its limit, its free tokens and the shares of its holders."""
 
     total: Total
     spare_millis: int = 0
@@ -33,21 +33,21 @@
 
     @property
     def free(self) -> Share:
-        """Return what no holder has; never below zero."""
-        held = [item.share for item in self.holdings_by_holder.values()]
-        rate = self.total.rate_millis - sum(item.rate_millis for item in held)
-        burst = self.total.burst_millis - sum(item.burst_millis for item in held)
+        """Return the share that no holder has, at least zero."""
+        shares = [item.share for item in self.holdings_by_holder.values()]
+        rate = self.total.rate_millis - sum(item.rate_millis for item in shares)
+        burst = self.total.burst_millis - sum(item.burst_millis for item in shares)
         return Share(max(0, rate), max(0, burst))
 
     def share_of(self, holder: str) -> Share:
-        """Return a holder's share."""
+        """Return the share of a holder, or `NO_SHARE`."""
         holding = self.holdings_by_holder.get(holder)
         return holding.share if holding else NO_SHARE
 
 
 @dataclass(frozen=True, slots=True)
 class HolderRecord:
-    """A holder's last renewal; each of its writes has a sequence of its own."""
+    """A holder's last renewal; `sequence` differs for each of its writes."""
 
     sequence: int
     validity_s: float
@@ -55,68 +55,68 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupLedger:
-    """All buckets of one group and the holders that have shares of them."""
+    """All buckets of one group and their holders."""
 
     holders_by_id: Mapping[str, HolderRecord] = field(default_factory=dict)
     buckets_by_name: Mapping[str, BucketRecord] = field(default_factory=dict)
 
     def share(self, bucket: str, holder: str) -> Share:
-        """Return a holder's share of a bucket."""
+        """Return a holder's share of a bucket, or `NO_SHARE`."""
         record = self.buckets_by_name.get(bucket)
         return record.share_of(holder) if record else NO_SHARE
 
 
 class LedgerDraft:
     """
-    A ledger being changed by one holder, to be written by compare-and-swap.
+    Changes of one holder to a ledger, to be written by compare-and-swap.
 
-    `observed_s` gives, for a bucket, for how many seconds the writer has known
-    its record's mark: the free part has surely accrued for that long.
+    `observed_s` returns for how many seconds the writer has seen a bucket's `mark`
+    unchanged: the free share has accrued tokens for at least that long.
     """
 
     def __init__(self, ledger: GroupLedger, observed_s: Callable[[str], float]) -> None:
         self._holders_by_id = dict(ledger.holders_by_id)
         self._buckets_by_name = dict(ledger.buckets_by_name)
         self._observed_s = observed_s
-        self._opened: set[str] = set()
+        self._accrued_buckets: set[str] = set()
 
     def finish(self) -> GroupLedger:
-        """Return the changed ledger."""
+        """Return the ledger with all changes."""
         return GroupLedger(self._holders_by_id, self._buckets_by_name)
 
     def record(self, bucket: str) -> BucketRecord | None:
-        """Return a bucket's record as it stands in the draft."""
+        """Return a bucket's record with the changes so far, or None."""
         return self._buckets_by_name.get(bucket)
 
     def renew(self, holder: str, sequence: int, validity_s: float) -> None:
-        """Write the holder's next sequence."""
+        """Set the holder's sequence and validity."""
         self._holders_by_id[holder] = HolderRecord(sequence, validity_s)
 
     def adopt_total(self, bucket: str, total: Total, *, first_tokens: bool) -> None:
         """
-        Take a newer total; an older or equal version changes nothing.
+        Set the limit of a bucket; ignore a version that is not newer.
 
-        A bucket without a record starts with its whole burst in the free part
-        if `first_tokens`. A larger total brings no tokens.
+        A new bucket starts with the complete burst as free tokens if `first_tokens`,
+        else with none. Raising a limit adds no tokens.
         """
         record = self.record(bucket)
         if record is None:
             spare = total.burst_millis if first_tokens else 0
             self._buckets_by_name[bucket] = BucketRecord(total, spare)
-            self._opened.add(bucket)
+            self._accrued_buckets.add(bucket)
             return
         if total.version <= record.total.version:
             return
-        record = replace(self._open(bucket), total=total)
-        self._put(bucket, record)
+        record = replace(self._accrue_free(bucket), total=total)
+        self._store(bucket, record)
 
     def claim(self, bucket: str, holder: str, wanted: Share) -> tuple[Share, int]:
         """
-        Move up to `wanted` from the free part to the holder's share.
+        Move up to `wanted` from the free share to the holder's share.
 
-        Return what was moved and the tokens (thousandths) that came with it.
+        Return the moved share and the tokens (thousandths) moved with it.
         """
-        record = self._open(bucket)
+        record = self._accrue_free(bucket)
         moved = wanted.within(record.free)
         tokens = min(moved.burst_millis, record.spare_millis)
         old = record.share_of(holder)
@@ -125,19 +125,19 @@
             old.burst_millis + moved.burst_millis,
         )
         record = replace(record, spare_millis=record.spare_millis - tokens)
-        self._put(bucket, self._held(record, holder, share))
+        self._store(bucket, self._with_share(record, holder, share))
         return moved, tokens
 
     def lower(self, bucket: str, holder: str, share: Share, tokens: int) -> None:
-        """Move the holder's share down to `share`, with tokens (thousandths)."""
-        record = self._open(bucket)
+        """Reduce the holder's share to `share` and free `tokens` (thousandths)."""
+        record = self._accrue_free(bucket)
         share = share.within(record.share_of(holder))
         spare = record.spare_millis + tokens
-        record = self._held(record, holder, share)
-        self._put(bucket, replace(record, spare_millis=spare))
+        record = self._with_share(record, holder, share)
+        self._store(bucket, replace(record, spare_millis=spare))
 
     def set_need(self, bucket: str, holder: str, need: Share) -> None:
-        """Tell the others what the holder needs."""
+        """Set the share that the holder needs, for its peers to read."""
         record = self._buckets_by_name[bucket]
         holding = record.holdings_by_holder.get(holder, Holding(NO_SHARE))
         holdings = dict(record.holdings_by_holder)
@@ -145,38 +145,40 @@
         self._buckets_by_name[bucket] = replace(record, holdings_by_holder=holdings)
 
     def need_of(self, bucket: str, holder: str) -> Share:
-        """Return what the holder's record says it needs."""
+        """Return the share that the holder needs by its record, or `NO_SHARE`."""
         holding = self._buckets_by_name[bucket].holdings_by_holder.get(holder)
         return holding.need if holding else NO_SHARE
 
     def remove_holder(self, holder: str) -> None:
-        """Free all shares of a holder, without tokens."""
+        """Remove a holder and free its shares, without tokens."""
         for bucket, record in list(self._buckets_by_name.items()):
             if holder not in record.holdings_by_holder:
                 continue
-            record = self._open(bucket)
+            record = self._accrue_free(bucket)
             holdings = dict(record.holdings_by_holder)
             del holdings[holder]
-            self._put(bucket, replace(record, holdings_by_holder=holdings))
+            self._store(bucket, replace(record, holdings_by_holder=holdings))
         self._holders_by_id.pop(holder, None)
 
-    def _open(self, bucket: str) -> BucketRecord:
-        """Bring the free part's tokens up to date, once in a draft."""
+    def _accrue_free(self, bucket: str) -> BucketRecord:
+        """Add the tokens that the free share has accrued; once per bucket and draft."""
         record = self._buckets_by_name[bucket]
-        if bucket in self._opened:
+        if bucket in self._accrued_buckets:
             return record
-        self._opened.add(bucket)
+        self._accrued_buckets.add(bucket)
         accrued = int(record.free.rate_millis * self._observed_s(bucket))
         spare = min(record.free.burst_millis, record.spare_millis + accrued)
         record = replace(record, spare_millis=spare, mark=record.mark + 1)
         self._buckets_by_name[bucket] = record
         return record
 
-    def _put(self, bucket: str, record: BucketRecord) -> None:
+    def _store(self, bucket: str, record: BucketRecord) -> None:
         spare = min(record.spare_millis, record.free.burst_millis)
         self._buckets_by_name[bucket] = replace(record, spare_millis=spare)
 
-    def _held(self, record: BucketRecord, holder: str, share: Share) -> BucketRecord:
+    def _with_share(
+        self, record: BucketRecord, holder: str, share: Share
+    ) -> BucketRecord:
         holdings = dict(record.holdings_by_holder)
         old = holdings.get(holder, Holding(NO_SHARE))
         holdings[holder] = replace(old, share=share)
--- a/damaskbay/core/rates/messages.py
+++ b/damaskbay/core/rates/messages.py
@@ -1,4 +1,4 @@
-"""What daemons and holders say to each other about tokens."""
+"""Messages between daemons and holders about tokens."""
 
 from dataclasses import dataclass
 
@@ -8,11 +8,11 @@
 @dataclass(frozen=True, slots=True)
 class BucketAsk:
     """
-    A daemon asks for tokens of one bucket.
+    Request of a daemon for tokens of one bucket.
 
-    `needed` requests are waiting, `wanted` tokens would be spent soon; `requests`
-    is how many asked for the bucket since the last ask. `grant_number` is unique
-    to the asking daemon process.
+    `needed` is the number of waiting calls, `wanted` the number of tokens including
+    a prefetch, `requests` the number of calls for the bucket since the last request.
+    `grant_number` is unique within the requesting daemon process.
     """
 
     bucket: str
@@ -25,10 +25,10 @@
 @dataclass(frozen=True, slots=True)
 class BucketGrant:
     """
-    Tokens that moved to the daemon, valid for a fixed time from its asking.
+    Tokens granted to a daemon, valid for a fixed time from its request.
 
-    With `count` 0: `exceeded` tells whether the rate is surely exceeded,
-    `retry_after_s` when asking again may help, in seconds.
+    With `count` 0, `exceeded` is true if the rate is known to be exceeded, and
+    `retry_after_s` is the delay in seconds before a new request may succeed.
     """
 
     bucket: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantClose:
-    """A daemon is done with a grant; `unused` tokens move back."""
+    """End of a grant; its `unused` tokens go back to the holder."""
 
     bucket: str
     grant_number: int
@@ -50,7 +50,7 @@
 @message("rates.ask")
 @dataclass(frozen=True, slots=True)
 class TokenAsk:
-    """Asks of one daemon to one holder, with grants that it is done with."""
+    """Token requests of one daemon to one holder, with the grants that it closes."""
 
     asks: tuple[BucketAsk, ...]
     closes: tuple[GrantClose, ...] = ()
@@ -59,7 +59,7 @@
 @message("rates.grants")
 @dataclass(frozen=True, slots=True)
 class TokenGrants:
-    """The answer to a TokenAsk, one grant for each ask."""
+    """Reply to a `TokenAsk`, with one grant for each of its buckets."""
 
     grants: tuple[BucketGrant, ...]
 
@@ -67,6 +67,6 @@
 @message("rates.close")
 @dataclass(frozen=True, slots=True)
 class TokenCloses:
-    """Grants that a daemon is done with; has no answer."""
+    """Grants that a daemon closes; there is no reply."""
 
     closes: tuple[GrantClose, ...]
--- a/damaskbay/core/rates/names.py
+++ b/damaskbay/core/rates/names.py
@@ -1,4 +1,4 @@
-"""Which buckets a request takes its tokens from."""
+"""Names and configured limits of the buckets that a call takes tokens from."""
 
 from dataclasses import dataclass
 
@@ -9,10 +9,10 @@
 @dataclass(frozen=True, slots=True)
 class Total:
     """
-    What one bucket allows over the whole fleet.
+    The fleet-wide limit of one bucket.
 
     Rate in thousandths of a token per second, burst in thousandths of a token;
-    `version` is that of the configuration set that says so.
+    `version` is that of the configuration set with this limit.
     """
 
     rate_millis: int
@@ -20,15 +20,15 @@
     version: int
 
 
-def newer(first: Total | None, second: Total | None) -> Total | None:
-    """Return the total of the newer set; the first one where they are equal."""
+def newer_limit(first: Total | None, second: Total | None) -> Total | None:
+    """Return the limit of the newer version; the first one if versions are equal."""
     if first is None or second is None:
         return first or second
     return second if second.version > first.version else first
 
 
-def same_terms(first: Total, second: Total) -> bool:
-    """Tell whether two totals allow the same."""
+def equal_limits(first: Total, second: Total) -> bool:
+    """Return whether rate and burst are equal, whatever the versions."""
     return (first.rate_millis, first.burst_millis) == (
         second.rate_millis,
         second.burst_millis,
@@ -39,9 +39,9 @@
     config: ConfigSet, workspace: str, limits: tuple[str, ...]
 ) -> tuple[str, ...] | None:
     """
-    Name the buckets of a request, the workspace's own first.
+    Return the bucket names of a call, that of its workspace first.
 
-    Return None where the set knows no such workspace or limit.
+    None if the configuration set lacks the workspace or one of the limits.
     """
     if workspace not in config.workspaces_by_name:
         return None
@@ -50,24 +50,26 @@
         limit = config.limits_by_name.get(limit_name)
         if limit is None:
             return None
-        own = limit.scope is LimitScope.WORKSPACE
-        names.append(f"l/{limit_name}/{workspace}" if own else f"l/{limit_name}")
+        per_workspace = limit.scope is LimitScope.WORKSPACE
+        names.append(
+            f"l/{limit_name}/{workspace}" if per_workspace else f"l/{limit_name}"
+        )
     return tuple(dict.fromkeys(names))
 
 
 def total_of(config: ConfigSet, bucket: str) -> Total | None:
-    """Return what the set allows a bucket, or None where it has no such bucket."""
+    """Return the limit of a bucket, or None if the configuration set lacks it."""
     kind, _, rest = bucket.partition("/")
     if kind == "w":
         workspace = config.workspaces_by_name.get(rest)
         if workspace is None:
             return None
         return _total(workspace.rate_per_s, workspace.burst, config.version)
-    limit_name, _, owner = rest.partition("/")
+    limit_name, _, workspace_name = rest.partition("/")
     limit = config.limits_by_name.get(limit_name)
-    if limit is None or bool(owner) != (limit.scope is LimitScope.WORKSPACE):
+    if limit is None or bool(workspace_name) != (limit.scope is LimitScope.WORKSPACE):
         return None
-    if owner and owner not in config.workspaces_by_name:
+    if workspace_name and workspace_name not in config.workspaces_by_name:
         return None
     return _total(limit.rate_per_s, limit.burst, config.version)
 
--- a/damaskbay/core/rates/node.py
+++ b/damaskbay/core/rates/node.py
@@ -1,4 +1,4 @@
-"""The holders of all groups at one daemon: who is asked, what is written when."""
+"""All group holders of one daemon: token requests and requests to the platform."""
 
 import random
 from collections.abc import Hashable, Iterable
@@ -7,8 +7,8 @@
 from damaskbay.core.rates.const import (
     BLOCK_MAX_S,
     BLOCK_MIN_S,
-    CALL_RETRY_S,
-    CONFLICT_SPREAD_S,
+    CONFLICT_DELAY_MAX_S,
+    REQUEST_RETRY_DELAY_S,
 )
 from damaskbay.core.rates.holder import GroupHolder, TotalOf
 from damaskbay.core.rates.holding import Proposal
@@ -26,16 +26,16 @@
 
 
 def group_of(bucket: str, groups: int) -> int:
-    """Return the group whose ledger holds a bucket."""
+    """Return the number of the group that a bucket belongs to."""
     return _hash(bucket) % groups
 
 
 def rank(group: int, instance: str) -> int:
-    """Return a daemon's rank for a group; the highest is its holder."""
+    """Return a daemon's rank for a group; the highest ranks are its holders."""
     return _hash(f"{group}/{instance}")
 
 
-def _is_known(total: Total | None) -> bool:
+def _has_burst(total: Total | None) -> bool:
     return total is not None and total.burst_millis > 0
 
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """An answer to the ask that came with this key."""
+    """Reply to the token request with this key."""
 
     key: Hashable
     grants: TokenGrants
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLedger:
-    """Write a group's ledger by compare-and-swap."""
+    """Request to write a group's ledger by compare-and-swap."""
 
     group: int
     proposal: Proposal
@@ -61,21 +61,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadLedger:
-    """Read a group's ledger."""
+    """Request to read a group's ledger."""
 
     group: int
 
 
 @dataclass(frozen=True, slots=True)
 class Wrote:
-    """The write took effect."""
+    """Result of a write that succeeded."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class Stands:
-    """What stands in the platform; after a lost race or a read."""
+    """The ledger stored in the platform; result of a read or a write conflict."""
 
     ledger: GroupLedger
     revision: int
@@ -83,12 +83,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NoEffect:
-    """The call surely had no effect."""
+    """Result of a request that certainly had no effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class Unresolved:
-    """The call may have taken effect or may still do so."""
+    """Result of a request that may have had an effect or may still have one."""
 
 
 CallResult = Wrote | Stands | NoEffect | Unresolved
@@ -96,34 +96,34 @@
 
 
 @dataclass(slots=True)
-class _Group:
+class _GroupState:
     holder: GroupHolder
-    calling: bool = False
+    request_in_flight: bool = False
     must_read: bool = False
     not_before: float = float("-inf")
-    polled_at: float = float("-inf")
-    asked_at: float = float("-inf")
-    writes_left: float = 1.0
-    writes_at: float = float("-inf")
+    last_read_at: float = float("-inf")
+    last_token_request_at: float = float("-inf")
+    write_tokens: float = 1.0
+    write_tokens_at: float = float("-inf")
 
 
 @dataclass(slots=True)
-class _Pending:
-    """An ask that waits for a claim to come through."""
+class _PendingRequest:
+    """A token request that waits for a claim to succeed."""
 
     key: Hashable
     daemon: str
     asks: tuple[BucketAsk, ...]
-    until: float
+    deadline: float
     grants_by_bucket: dict[str, BucketGrant] = field(default_factory=dict)
 
 
 class HolderNode:
     """
-    Answers asks for tokens and keeps the shares behind them.
+    Holder of all groups at one daemon, without I/O of its own.
 
-    `stop` gives everything back; `calls` returns what to do at the platform,
-    each call's result comes back through `call_done`.
+    `ask` handles token requests. `calls` returns the requests to send to the
+    platform; pass each result to `call_done`. `stop` gives all shares back.
     """
 
     def __init__(
@@ -132,28 +132,30 @@
         self._holder_id = holder_id
         self._options = options
         self._rng = rng
-        self._groups_by_number: dict[int, _Group] = {}
+        self._groups_by_number: dict[int, _GroupState] = {}
         self._roles: frozenset[int] = frozenset()
-        self._pending: list[_Pending] = []
+        self._pending: list[_PendingRequest] = []
         self._stopping = False
 
     def set_roles(self, groups: Iterable[int]) -> None:
-        """Take the groups that this daemon is the holder of."""
+        """Set the groups that this daemon is a holder of."""
         self._roles = frozenset(groups)
 
     def stop(self) -> None:
-        """Start giving all shares back."""
+        """Start to give all shares back."""
         self._stopping = True
 
     def stopped(self) -> bool:
-        """Tell whether all shares are surely given back."""
+        """Return whether all shares are confirmed to be given back."""
         return self._stopping and not any(
-            item.calling or item.holder.holds_any() or item.holder.claims.open_proposal
+            item.request_in_flight
+            or item.holder.in_ledger()
+            or item.holder.claims.open_proposal
             for item in self._groups_by_number.values()
         )
 
     def rescale(self, total_of: TotalOf, now: float) -> None:
-        """Take in a newer set."""
+        """Apply the limits of a newer configuration set."""
         for item in self._groups_by_number.values():
             item.holder.rescale(total_of, now)
 
@@ -166,44 +168,45 @@
         now: float,
     ) -> list[Answer]:
         """
-        Answer an ask, or keep it for a short time while a claim is made.
+        Handle a token request; keep it for a short time if a claim may help.
 
-        Buckets that the set in force does not know get nothing.
+        Return the replies that are ready. If the active configuration set lacks one
+        of the buckets, nothing is granted.
         """
         self.close(daemon, ask.closes, now)
-        if not all(_is_known(total_of(item.bucket)) for item in ask.asks):
-            none = (BucketGrant(i.bucket, i.grant_number, 0) for i in ask.asks)
-            return [Answer(key, TokenGrants(tuple(none)))]
-        until = now + self._options.claim_wait_s
-        pending = _Pending(key, daemon, ask.asks, until)
+        if not all(_has_burst(total_of(item.bucket)) for item in ask.asks):
+            empty_grants = (BucketGrant(i.bucket, i.grant_number, 0) for i in ask.asks)
+            return [Answer(key, TokenGrants(tuple(empty_grants)))]
+        deadline = now + self._options.claim_wait_s
+        pending = _PendingRequest(key, daemon, ask.asks, deadline)
         for item in ask.asks:
             group = self._group(item.bucket)
-            group.asked_at = now
+            group.last_token_request_at = now
             group.holder.count(item.bucket, item.requests, now)
-        return self._try([pending], now)
+        return self._reply_or_keep([pending], now)
 
     def close(self, daemon: str, closes: Iterable[GrantClose], now: float) -> None:
-        """Take back what a daemon did not spend."""
+        """Close grants of a daemon and put their unused tokens back."""
         for item in closes:
             grant_id = f"{daemon}/{item.grant_number}"
             holder = self._group(item.bucket).holder
             holder.close(item.bucket, grant_id, item.unused, now)
 
     def due_answers(self, now: float) -> list[Answer]:
-        """Answer the asks that have waited long enough."""
+        """Return the replies to waiting requests that are granted or have timed out."""
         pending, self._pending = self._pending, []
-        return self._try(pending, now)
+        return self._reply_or_keep(pending, now)
 
     def calls(self, total_of: TotalOf, now: float) -> list[LedgerCall]:
-        """Return the platform calls that are due."""
+        """Return the requests to the platform that are due."""
         calls: list[LedgerCall] = []
         for number, group in self._groups_by_number.items():
-            if group.calling or now < group.not_before:
+            if group.request_in_flight or now < group.not_before:
                 continue
-            call = self._call(number, group, total_of, now)
+            call = self._next_request(number, group, total_of, now)
             if call is not None:
-                group.calling = True
-                group.writes_left -= isinstance(call, WriteLedger)
+                group.request_in_flight = True
+                group.write_tokens -= isinstance(call, WriteLedger)
                 group.not_before = now + self._options.write_gap_s
                 calls.append(call)
         return calls
@@ -211,95 +214,97 @@
     def call_done(
         self, call: LedgerCall, result: CallResult, now: float
     ) -> list[Answer]:
-        """Take in the result of a platform call and answer who waited for it."""
+        """Record the result of a platform request; return the replies now ready."""
         group = self._groups_by_number[call.group]
-        group.calling = False
+        group.request_in_flight = False
         proposal = call.proposal if isinstance(call, WriteLedger) else None
         if isinstance(result, Stands):
             group.holder.settle(result.ledger, result.revision, now)
             if proposal is not None:
-                group.writes_left += 1
-                group.not_before = now + self._rng.uniform(0, CONFLICT_SPREAD_S)
+                group.write_tokens += 1
+                group.not_before = now + self._rng.uniform(0, CONFLICT_DELAY_MAX_S)
         elif isinstance(result, Wrote) and proposal is not None:
-            group.holder.written(proposal, result.revision, now)
+            group.holder.write_succeeded(proposal, result.revision, now)
         elif isinstance(result, NoEffect) and proposal is not None:
-            group.holder.failed(proposal, now)
+            group.holder.write_failed(proposal, now)
         if isinstance(result, (Stands, Wrote)):
             group.must_read = False
-            group.polled_at = now
+            group.last_read_at = now
         else:
             group.must_read = group.must_read or isinstance(result, Unresolved)
-            group.not_before = now + CALL_RETRY_S
+            group.not_before = now + REQUEST_RETRY_DELAY_S
         return self.due_answers(now)
 
-    def _group(self, bucket: str) -> _Group:
+    def _group(self, bucket: str) -> _GroupState:
         number = group_of(bucket, self._options.groups)
         group = self._groups_by_number.get(number)
         if group is None:
-            group = _Group(GroupHolder(self._holder_id, self._options))
+            group = _GroupState(GroupHolder(self._holder_id, self._options))
             self._groups_by_number[number] = group
         return group
 
-    def _call(
-        self, number: int, group: _Group, total_of: TotalOf, now: float
+    def _next_request(
+        self, number: int, group: _GroupState, total_of: TotalOf, now: float
     ) -> LedgerCall | None:
         holder = group.holder
         if group.must_read:
             return ReadLedger(number)
         if self._stopping or self._has_stepped_down(number, group, now):
-            proposal = holder.leave(now)
+            proposal = holder.release_all(now)
             return WriteLedger(number, proposal) if proposal else None
-        poll_due = now - group.polled_at >= self._options.poll_s
-        if poll_due and holder.view.revision and not holder.any_claimable():
+        poll_due = now - group.last_read_at >= self._options.poll_s
+        if poll_due and holder.view.revision and not holder.may_claim_any():
             return ReadLedger(number)
         if not self._may_write(group, now):
             return None
         proposal = holder.plan(total_of, now)
         return WriteLedger(number, proposal) if proposal else None
 
-    def _may_write(self, group: _Group, now: float) -> bool:
-        """Keep the platform's writes bounded however demand moves."""
-        refilled = (now - group.writes_at) / self._options.write_refill_s
-        group.writes_at = now
-        most = float(self._options.write_reserve)
-        group.writes_left = min(group.writes_left + refilled, most)
-        return group.writes_left >= 1
+    def _may_write(self, group: _GroupState, now: float) -> bool:
+        """Return whether the write rate allows a write; refill its token bucket."""
+        refill = (now - group.write_tokens_at) / self._options.write_interval_s
+        group.write_tokens_at = now
+        max_tokens = float(self._options.write_burst)
+        group.write_tokens = min(group.write_tokens + refill, max_tokens)
+        return group.write_tokens >= 1
 
-    def _has_stepped_down(self, number: int, group: _Group, now: float) -> bool:
+    def _has_stepped_down(self, number: int, group: _GroupState, now: float) -> bool:
         if number in self._roles:
             return False
-        return now - group.asked_at > self._options.step_down_s
+        return now - group.last_token_request_at > self._options.step_down_s
 
-    def _try(self, pending: list[_Pending], now: float) -> list[Answer]:
+    def _reply_or_keep(
+        self, pending: list[_PendingRequest], now: float
+    ) -> list[Answer]:
         answers = []
         for item in pending:
-            if self._grant(item, now):
+            if self._grant_available(item, now):
                 grants = tuple(item.grants_by_bucket[ask.bucket] for ask in item.asks)
                 answers.append(Answer(item.key, TokenGrants(grants)))
             else:
                 self._pending.append(item)
         return answers
 
-    def _grant(self, pending: _Pending, now: float) -> bool:
-        """Grant what can be granted; tell whether the ask is to be answered."""
-        complete = True
+    def _grant_available(self, pending: _PendingRequest, now: float) -> bool:
+        """Grant available tokens; return whether the reply is ready."""
+        is_ready = True
         for ask in pending.asks:
-            known = pending.grants_by_bucket.get(ask.bucket)
-            if known is not None and known.count > 0:
+            earlier = pending.grants_by_bucket.get(ask.bucket)
+            if earlier is not None and earlier.count > 0:
                 continue
             holder = self._group(ask.bucket).holder
             grant_id = f"{pending.daemon}/{ask.grant_number}"
             count = holder.grant(ask.bucket, grant_id, ask.needed, ask.wanted, now)
-            pending.grants_by_bucket[ask.bucket] = self._answer(ask, count, now)
-            waits = count == 0 and ask.needed > 0 and holder.claimable(ask.bucket)
-            complete = complete and not waits
-        return complete or now >= pending.until or self._stopping
+            pending.grants_by_bucket[ask.bucket] = self._bucket_grant(ask, count, now)
+            may_wait = count == 0 and ask.needed > 0 and holder.may_claim(ask.bucket)
+            is_ready = is_ready and not may_wait
+        return is_ready or now >= pending.deadline or self._stopping
 
-    def _answer(self, ask: BucketAsk, count: int, now: float) -> BucketGrant:
+    def _bucket_grant(self, ask: BucketAsk, count: int, now: float) -> BucketGrant:
         if count > 0:
             return BucketGrant(ask.bucket, ask.grant_number, count)
         holder = self._group(ask.bucket).holder
         rate = holder.rate_per_s(ask.bucket)
         wait_s = max(BLOCK_MIN_S, 1 / rate) if rate > 0 else BLOCK_MAX_S
-        exceeded = holder.surely_exceeded(ask.bucket, now)
+        exceeded = holder.rate_exceeded(ask.bucket, now)
         return BucketGrant(ask.bucket, ask.grant_number, 0, exceeded, wait_s)
--- a/damaskbay/core/rates/options.py
+++ b/damaskbay/core/rates/options.py
@@ -1,4 +1,4 @@
-"""What an operator may set of the counting of rate and burst."""
+"""Options of the fleet-wide rate limits."""
 
 from dataclasses import dataclass
 
@@ -8,14 +8,15 @@
 @dataclass(frozen=True, slots=True)
 class ShareOptions:
     """
-    Terms of shares. Times in seconds.
+    Options of shares and their holders. Times in seconds.
 
-    Each of the `groups` of buckets has so many `holders` in a failure domain; its
-    daemons are split among them, so that a crash takes but one's share away.
-    A holder writes once in `write_refill_s` at most, but for a few at once.
-    `validity_s` is for how long a holder goes on without the platform, and for
-    how long a crashed holder's share stays out of use. `floor_share` is the part
-    of a bucket's rate that a holder keeps unused while nobody else needs it.
+    Buckets are divided into `groups`. Each group has `holders` holders in a failure
+    domain, so that a crash makes only one of their shares unusable. A holder
+    writes a ledger once per `write_interval_s`, with a burst of `write_burst`.
+    `validity_s` is the time for which a holder may use its shares without the
+    platform, and for which the share of a crashed holder stays unusable.
+    `floor_share` is the fraction of a bucket's rate that a holder keeps although
+    unused, while no peer needs it.
     """
 
     groups: int = const.DEFAULT_GROUPS
@@ -25,8 +26,8 @@
     renew_s: float = const.DEFAULT_RENEW_S
     poll_s: float = const.DEFAULT_POLL_S
     write_gap_s: float = const.DEFAULT_WRITE_GAP_S
-    write_refill_s: float = const.DEFAULT_WRITE_REFILL_S
-    write_reserve: int = const.DEFAULT_WRITE_RESERVE
+    write_interval_s: float = const.DEFAULT_WRITE_INTERVAL_S
+    write_burst: int = const.DEFAULT_WRITE_BURST
     headroom: float = const.DEFAULT_HEADROOM
     floor_share: float = const.DEFAULT_FLOOR_SHARE
     floor_idle_s: float = const.DEFAULT_FLOOR_IDLE_S
--- a/damaskbay/core/rates/planner.py
+++ b/damaskbay/core/rates/planner.py
@@ -1,4 +1,4 @@
-"""What a holder writes next: how much of each bucket it claims or gives up."""
+"""Target shares of a holder: how much of each bucket it claims or gives up."""
 
 import math
 from collections.abc import Mapping
@@ -6,15 +6,15 @@
 
 from damaskbay.core.rates.bucket import NO_SHARE, Share
 from damaskbay.core.rates.const import (
-    IN_USE_S,
+    EXCESS_SHARE_FACTOR,
+    FAIR_SHARE_MAX_FACTOR,
+    FAIR_SHARE_MIN_FACTOR,
     MILLIS,
-    NEAR_ABOVE,
-    NEAR_BELOW,
-    NEED_GRID,
-    SHRINK_FACTOR,
-    SILENT_RENEWALS,
+    NEED_STEP_FACTOR,
+    TOKEN_HOLD_S,
+    UNRESPONSIVE_AFTER_RENEWALS,
 )
-from damaskbay.core.rates.demand import fair_parts
+from damaskbay.core.rates.demand import max_min_fair_shares
 from damaskbay.core.rates.ledger import BucketRecord, Holding
 from damaskbay.core.rates.names import Total
 from damaskbay.core.rates.options import ShareOptions
@@ -24,39 +24,40 @@
 @dataclass(frozen=True, slots=True)
 class Need:
     """
-    What a holder needs of one bucket now.
+    The share of one bucket that a holder needs.
 
-    `now` with headroom, which others may press it down to a fair part of; `keep`
-    likewise of a longer time, not given up unasked; `unmet_tokens` were asked for
-    in vain since the last write; `used_lately` earns the floor.
+    `current` includes headroom; under scarcity a holder gets only a fair share of it.
+    `retained` is the peak of a longer time, kept while there is no scarcity.
+    `unmet_tokens` were needed and not granted since the last write. If
+    `used_recently`, the holder keeps a minimum share (`floor_share`).
     """
 
-    now: Share
-    keep: Share
+    current: Share
+    retained: Share
     unmet_tokens: int = 0
-    used_lately: bool = False
+    used_recently: bool = False
 
 
-def need_share(
+def needed_share(
     rate_per_s: float, spike_tokens: float, total: Total, options: ShareOptions
 ) -> Share:
     """
-    Return what to ask for with headroom, at most the total.
+    Return the share needed for a demand, with headroom, at most the limit.
 
-    Rounded up to a coarse grid, so that small changes cost no write.
+    Values are rounded up in coarse steps, so that small changes cause no write.
     """
-    rate = _on_grid(rate_per_s * options.headroom * MILLIS)
-    in_use = max(spike_tokens, rate_per_s * IN_USE_S)
-    burst = _whole(_on_grid(in_use * MILLIS), up=True)
+    rate = _round_up_to_step(rate_per_s * options.headroom * MILLIS)
+    occupied_tokens = max(spike_tokens, rate_per_s * TOKEN_HOLD_S)
+    burst = _whole_tokens(_round_up_to_step(occupied_tokens * MILLIS), up=True)
     return Share(min(rate, total.rate_millis), min(burst, total.burst_millis))
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """The share to have next, and whether live holders lack rate or burst."""
+    """A holder's next share, and whether live holders need more than is free."""
 
     share: Share
-    pressed: bool
+    is_scarce: bool
 
 
 def target_share(
@@ -64,74 +65,76 @@
     holder: str,
     need: Need,
     *,
-    silent: frozenset[str],
+    unresponsive: frozenset[str],
     options: ShareOptions,
 ) -> Target:
     """
-    Return the share that the holder should have next.
+    Return the next share of a holder, with rate and burst decided separately.
 
-    Rate and burst each: while the live holders' needs fit, each gets its need
-    and keeps somewhat more than that; else each gets its max-min fair part.
+    While the needs of the live holders fit, each gets its need and keeps some more
+    than that; otherwise each gets its max-min fair share.
     """
     live = {
         other: holding
         for other, holding in record.holdings_by_holder.items()
-        if other not in silent
+        if other not in unresponsive
     }
     own = live.get(holder, Holding(NO_SHARE))
-    live[holder] = Holding(own.share, need.now)
-    floor_share = options.floor_share if need.used_lately else 0.0
-    rate = _Part(
+    live[holder] = Holding(own.share, need.current)
+    floor_share = options.floor_share if need.used_recently else 0.0
+    rate = _Resource(
         total=record.total.rate_millis,
         free=record.free.rate_millis,
         held_by_holder={name: item.share.rate_millis for name, item in live.items()},
         need_by_holder={name: item.need.rate_millis for name, item in live.items()},
-        floor=int(record.total.rate_millis * floor_share),
-        keep=need.keep.rate_millis,
+        minimum=int(record.total.rate_millis * floor_share),
+        retained=need.retained.rate_millis,
     )
-    burst = _Part(
+    burst = _Resource(
         total=record.total.burst_millis,
         free=record.free.burst_millis,
         held_by_holder={name: item.share.burst_millis for name, item in live.items()},
         need_by_holder={name: item.need.burst_millis for name, item in live.items()},
-        floor=_whole(record.total.burst_millis * floor_share, up=True),
-        keep=need.keep.burst_millis,
+        minimum=_whole_tokens(record.total.burst_millis * floor_share, up=True),
+        retained=need.retained.burst_millis,
     )
-    tokens = _whole(burst.target(holder, need.unmet_tokens * MILLIS))
-    pressed = rate.pressed() or burst.pressed()
-    return Target(Share(rate.target(holder, 0), tokens), pressed)
+    tokens = _whole_tokens(burst.target(holder, need.unmet_tokens * MILLIS))
+    is_scarce = rate.is_scarce() or burst.is_scarce()
+    return Target(Share(rate.target(holder, 0), tokens), is_scarce)
 
 
 @dataclass(frozen=True, slots=True)
-class _Part:
-    """Either rate or burst of one bucket, in thousandths."""
+class _Resource:
+    """Rate or burst of one bucket, in thousandths."""
 
     total: int
     free: int
     held_by_holder: Mapping[str, int]
     need_by_holder: Mapping[str, int]
-    floor: int
-    keep: int
+    minimum: int
+    retained: int
 
     def target(self, holder: str, unmet: int) -> int:
-        """Return what the holder should have next."""
+        """Return the holder's next value."""
         available = min(self.free + sum(self.held_by_holder.values()), self.total)
-        part = fair_parts(available, self.need_by_holder)[holder]
+        fair = max_min_fair_shares(available, self.need_by_holder)[holder]
         current = self.held_by_holder[holder]
-        if self.pressed():
-            near = part * NEAR_BELOW <= current <= part * NEAR_ABOVE
-            return current if near else part
-        wanted = max(part, self.floor)
+        if self.is_scarce():
+            is_near = (
+                fair * FAIR_SHARE_MIN_FACTOR <= current <= fair * FAIR_SHARE_MAX_FACTOR
+            )
+            return current if is_near else fair
+        wanted = max(fair, self.minimum)
         if unmet:
             claimed = max(unmet, self.free // 2)
             wanted = max(wanted, current + min(claimed, self.free))
         if wanted >= current:
             return wanted
-        kept = max(wanted, self.keep)
-        return kept if current > kept * SHRINK_FACTOR else current
+        kept = max(wanted, self.retained)
+        return kept if current > kept * EXCESS_SHARE_FACTOR else current
 
-    def pressed(self) -> bool:
-        """Tell whether someone lacks what the free part cannot give."""
+    def is_scarce(self) -> bool:
+        """Return whether live holders lack more than is free."""
         lacking = (
             max(0, need - self.held_by_holder[holder])
             for holder, need in self.need_by_holder.items()
@@ -139,23 +142,23 @@
         return sum(lacking) > self.free
 
 
-def _on_grid(millis: float) -> int:
+def _round_up_to_step(millis: float) -> int:
     if millis < 1:
         return 0
-    return int(NEED_GRID ** math.ceil(math.log(millis, NEED_GRID)))
+    return int(NEED_STEP_FACTOR ** math.ceil(math.log(millis, NEED_STEP_FACTOR)))
 
 
-def _whole(millis: float, *, up: bool = False) -> int:
-    """Round to whole tokens."""
+def _whole_tokens(millis: float, *, up: bool = False) -> int:
+    """Return thousandths rounded to whole tokens, down unless `up`."""
     tokens = math.ceil(millis / MILLIS) if up else int(millis // MILLIS)
     return tokens * MILLIS
 
 
-def silent_holders(
+def unresponsive_holders(
     view: LedgerView, options: ShareOptions, now: float
 ) -> frozenset[str]:
-    """Name the holders that missed renewals: their shares are out of use."""
-    limit_s = options.renew_s * SILENT_RENEWALS
+    """Return the holders that missed several renewals and don't use their shares."""
+    limit_s = options.renew_s * UNRESPONSIVE_AFTER_RENEWALS
     return frozenset(
         holder
         for holder in view.ledger.holders_by_id
--- a/damaskbay/core/rates/stock.py
+++ b/damaskbay/core/rates/stock.py
@@ -1,4 +1,4 @@
-"""The tokens that one daemon has at hand, in lots with a short validity."""
+"""The granted tokens of one daemon, in lots with a short validity."""
 
 import random
 from collections import deque
@@ -9,13 +9,13 @@
 from damaskbay.core.rates.const import (
     BLOCK_MAX_S,
     BLOCK_MIN_S,
-    IDLE_LOT_S,
+    LOT_IDLE_TIMEOUT_S,
     MAX_NEEDED_TOKENS,
     PREFETCH_RETRY_S,
     PREFETCH_S,
     STOCK_DECAY_S,
 )
-from damaskbay.core.rates.demand import Demand
+from damaskbay.core.rates.demand import DemandEstimator
 from damaskbay.core.rates.messages import BucketAsk, BucketGrant, GrantClose
 from damaskbay.ports.peer import PeerAddress
 
@@ -25,19 +25,19 @@
     grant_number: int
     holder: PeerAddress | None
     count: int
-    taken_in_at: float
+    received_at: float
     expires_at: float
 
 
 @dataclass(slots=True)
-class _Stocked:
-    """One bucket at this daemon."""
+class _BucketStock:
+    """Granted tokens and open requests of one bucket at this daemon."""
 
-    demand: Demand
+    demand: DemandEstimator
     lots: deque[_Lot] = field(default_factory=deque)
-    asking: bool = False
+    request_in_flight: bool = False
     blocked_until: float = float("-inf")
-    prefetch_at: float = float("-inf")
+    prefetch_not_before: float = float("-inf")
     exceeded: bool = False
     retry_after_s: float = 0.0
     requests: int = 0
@@ -45,23 +45,23 @@
     attempt: int = 0
 
     def count(self, now: float) -> int:
-        """Return the tokens that may still be spent."""
+        """Return the number of tokens that may still be spent."""
         return sum(lot.count for lot in self.lots if now < lot.expires_at)
 
 
 @dataclass(frozen=True, slots=True)
 class Missing:
-    """Buckets that have no token at hand and may be asked for some."""
+    """Buckets without tokens for which a request may be sent."""
 
     buckets: tuple[str, ...]
 
 
 class Stock:
     """
-    Spends one token of each bucket of a request, or none at all.
+    Stock of granted tokens, which spends one of each bucket of a call or none.
 
-    A request that any of its buckets refuses spends nothing: tokens that came
-    for it serve others or move back unused.
+    A call refused by any of its buckets spends nothing: tokens granted for it are
+    spent by other calls or go back unused.
     """
 
     def __init__(
@@ -70,46 +70,48 @@
         self._token_validity_s = token_validity_s
         self._holders = holders
         self._rng = rng
-        self._stocked_by_bucket: dict[str, _Stocked] = {}
+        self._stocks_by_bucket: dict[str, _BucketStock] = {}
         self._grant_number = 0
 
     def arrive(self, buckets: tuple[str, ...], now: float) -> None:
-        """Take note of a request for these buckets."""
+        """Count a call that needs tokens of these buckets."""
         for bucket in buckets:
-            stocked = self._stocked(bucket, now)
-            stocked.requests += 1
-            stocked.demand.add(1, 0.0, 1.0, now)
+            stock = self._bucket_stock(bucket, now)
+            stock.requests += 1
+            stock.demand.add(1, 0.0, 1.0, now)
 
     def take(self, buckets: tuple[str, ...], now: float) -> Refusal | Missing | None:
         """
-        Spend one token of each bucket; None tells that it was done.
+        Spend one token of each bucket and return None, or spend nothing.
 
-        Buckets are looked at in their order, so that a request refused by an
-        earlier one asks nothing of later ones.
+        Buckets are checked in order, so that a call refused by an earlier bucket
+        requests no tokens of a later one.
         """
         missing = []
         for bucket in buckets:
-            stocked = self._stocked(bucket, now)
-            if stocked.count(now) > 0:
+            stock = self._bucket_stock(bucket, now)
+            if stock.count(now) > 0:
                 continue
-            if now < stocked.blocked_until:
-                return self._refusal(stocked)
+            if now < stock.blocked_until:
+                return self._refusal(stock)
             missing.append(bucket)
         if missing:
             return Missing(tuple(missing))
         for bucket in buckets:
-            self._spend(self._stocked(bucket, now), now)
+            self._spend(self._bucket_stock(bucket, now), now)
         return None
 
     def due_asks(
         self, waiting_by_bucket: Mapping[str, int], now: float
     ) -> tuple[BucketAsk, ...]:
-        """Return the asks to send now; each is then answered or failed."""
+        """Return the token requests to send now; report each result afterwards."""
         asks = []
-        for bucket, stocked in self._stocked_by_bucket.items():
-            if stocked.asking or now < stocked.blocked_until:
+        for bucket, stock in self._stocks_by_bucket.items():
+            if stock.request_in_flight or now < stock.blocked_until:
                 continue
-            ask = self._ask(bucket, stocked, waiting_by_bucket.get(bucket, 0), now)
+            ask = self._next_request(
+                bucket, stock, waiting_by_bucket.get(bucket, 0), now
+            )
             if ask is not None:
                 asks.append(ask)
         return tuple(asks)
@@ -123,98 +125,102 @@
         asked_at: float,
         now: float,
     ) -> None:
-        """Take in an answer. Validity counts from before the ask was sent."""
-        stocked = self._stocked(grant.bucket, now)
-        stocked.asking = False
+        """Add the tokens of a reply, valid from before the request was sent."""
+        stock = self._bucket_stock(grant.bucket, now)
+        stock.request_in_flight = False
         expires_at = asked_at + self._token_validity_s
         if grant.count > 0:
-            stocked.attempt = 0
+            stock.attempt = 0
             lot = _Lot(grant.grant_number, holder, grant.count, now, expires_at)
-            stocked.lots.append(lot)
+            stock.lots.append(lot)
         else:
-            stocked.prefetch_at = now + PREFETCH_RETRY_S
-        if grant.count == 0 and needed > 0 and not self._asks_next(stocked):
-            stocked.exceeded = grant.exceeded
-            stocked.retry_after_s = grant.retry_after_s
+            stock.prefetch_not_before = now + PREFETCH_RETRY_S
+        if grant.count == 0 and needed > 0 and not self._select_next_holder(stock):
+            stock.exceeded = grant.exceeded
+            stock.retry_after_s = grant.retry_after_s
             block_s = min(max(grant.retry_after_s, BLOCK_MIN_S), BLOCK_MAX_S)
-            stocked.blocked_until = now + block_s * self._rng.uniform(0.5, 1.0)
+            stock.blocked_until = now + block_s * self._rng.uniform(0.5, 1.0)
 
     def turn(self, bucket: str) -> int:
         """
-        Return which of the group's holders the last due ask is for.
+        Return the index of the group's holder for the last due request.
 
-        Asks go round, so that holders share a domain's demand evenly.
+        Requests rotate over the holders, which spreads a domain's demand evenly.
         """
-        stocked = self._stocked_by_bucket.get(bucket)
-        return (stocked.turn + stocked.attempt) % self._holders if stocked else 0
+        stock = self._stocks_by_bucket.get(bucket)
+        return (stock.turn + stock.attempt) % self._holders if stock else 0
 
     def ask_failed(self, bucket: str, now: float) -> None:
-        """Take in that an ask brought no answer."""
-        self._stocked(bucket, now).asking = False
+        """Record that a request got no reply."""
+        self._bucket_stock(bucket, now).request_in_flight = False
 
     def block(self, bucket: str, now: float) -> None:
-        """Refuse for a short time: no holder can be reached."""
-        stocked = self._stocked(bucket, now)
-        stocked.exceeded = False
-        stocked.retry_after_s = BLOCK_MAX_S
-        stocked.blocked_until = now + BLOCK_MAX_S
+        """Refuse calls for a short time because no holder is reachable."""
+        stock = self._bucket_stock(bucket, now)
+        stock.exceeded = False
+        stock.retry_after_s = BLOCK_MAX_S
+        stock.blocked_until = now + BLOCK_MAX_S
 
     def due_closes(
         self, now: float, *, everything: bool = False
     ) -> dict[PeerAddress | None, list[GrantClose]]:
-        """Drop lots that are spent, idle or expired; return them by holder."""
+        """Remove spent, idle and expired lots; return the closes by holder."""
         closes: dict[PeerAddress | None, list[GrantClose]] = {}
-        for bucket, stocked in self._stocked_by_bucket.items():
-            for lot in list(stocked.lots):
-                if everything or _done(lot, now):
-                    stocked.lots.remove(lot)
+        for bucket, stock in self._stocks_by_bucket.items():
+            for lot in list(stock.lots):
+                if everything or _is_finished(lot, now):
+                    stock.lots.remove(lot)
                     close = GrantClose(bucket, lot.grant_number, lot.count)
                     closes.setdefault(lot.holder, []).append(close)
         return closes
 
-    def _stocked(self, bucket: str, now: float) -> _Stocked:
-        stocked = self._stocked_by_bucket.get(bucket)
-        if stocked is None:
-            stocked = _Stocked(Demand(STOCK_DECAY_S, STOCK_DECAY_S, now))
-            self._stocked_by_bucket[bucket] = stocked
-        return stocked
+    def _bucket_stock(self, bucket: str, now: float) -> _BucketStock:
+        stock = self._stocks_by_bucket.get(bucket)
+        if stock is None:
+            stock = _BucketStock(DemandEstimator(STOCK_DECAY_S, STOCK_DECAY_S, now))
+            self._stocks_by_bucket[bucket] = stock
+        return stock
 
-    def _asks_next(self, stocked: _Stocked) -> bool:
-        """Turn to the group's next holder, if there is one that was not asked."""
-        stocked.attempt = (stocked.attempt + 1) % self._holders
-        return stocked.attempt > 0
+    def _select_next_holder(self, stock: _BucketStock) -> bool:
+        """Select the group's next holder; return False if all had a request."""
+        stock.attempt = (stock.attempt + 1) % self._holders
+        return stock.attempt > 0
 
-    def _spend(self, stocked: _Stocked, now: float) -> None:
-        for lot in stocked.lots:
+    def _spend(self, stock: _BucketStock, now: float) -> None:
+        for lot in stock.lots:
             if lot.count > 0 and now < lot.expires_at:
                 lot.count -= 1
                 return
 
-    def _ask(
-        self, bucket: str, stocked: _Stocked, waiting: int, now: float
+    def _next_request(
+        self, bucket: str, stock: _BucketStock, waiting: int, now: float
     ) -> BucketAsk | None:
-        count = stocked.count(now)
+        count = stock.count(now)
         needed = min(max(0, waiting - count), MAX_NEEDED_TOKENS)
-        ahead = round(stocked.demand.rate_per_s(now) * PREFETCH_S)
-        low = ahead > 0 and count <= ahead // 2 and now >= stocked.prefetch_at
-        if needed == 0 and not low:
+        prefetch_count = round(stock.demand.rate_per_s(now) * PREFETCH_S)
+        is_low = (
+            prefetch_count > 0
+            and count <= prefetch_count // 2
+            and now >= stock.prefetch_not_before
+        )
+        if needed == 0 and not is_low:
             return None
         self._grant_number += 1
-        requests = stocked.requests
-        stocked.requests = 0
-        stocked.asking = True
-        stocked.turn += stocked.attempt == 0
-        wanted = min(waiting + ahead - count, MAX_NEEDED_TOKENS)
+        requests = stock.requests
+        stock.requests = 0
+        stock.request_in_flight = True
+        stock.turn += stock.attempt == 0
+        wanted = min(waiting + prefetch_count - count, MAX_NEEDED_TOKENS)
         return BucketAsk(bucket, self._grant_number, needed, wanted, requests)
 
-    def _refusal(self, stocked: _Stocked) -> Refusal:
+    def _refusal(self, stock: _BucketStock) -> Refusal:
         reason = Reason.SHARE_UNAVAILABLE
-        if stocked.exceeded:
+        if stock.exceeded:
             reason = Reason.RATE_EXCEEDED
         spread = self._rng.uniform(1.0, 2.0)
-        return not_run(reason, retry_after_s=stocked.retry_after_s * spread)
+        return not_run(reason, retry_after_s=stock.retry_after_s * spread)
 
 
-def _done(lot: _Lot, now: float) -> bool:
-    idle = now - lot.taken_in_at >= IDLE_LOT_S
+def _is_finished(lot: _Lot, now: float) -> bool:
+    idle = now - lot.received_at >= LOT_IDLE_TIMEOUT_S
     return lot.count == 0 or idle or now >= lot.expires_at
--- a/damaskbay/core/rates/table.py
+++ b/damaskbay/core/rates/table.py
@@ -1,16 +1,16 @@
-"""Which daemon of the own failure domain holds a group's shares."""
+"""Selection of the daemons of the local failure domain that hold a group."""
 
-from damaskbay.core.rates.const import AVOID_MAX_S, AVOID_MIN_S, TIMEOUTS_TO_AVOID
+from damaskbay.core.rates.const import AVOID_AFTER_TIMEOUTS, AVOID_MAX_S, AVOID_MIN_S
 from damaskbay.core.rates.node import rank
 from damaskbay.ports.fleet import MemberView
 
 
 class HolderTable:
     """
-    Picks the live daemons with the highest ranks for each group.
+    Table of each group's holders: the live daemons with the highest ranks.
 
-    Asks go round among the group's holders. Daemons may disagree about who is
-    one for a while: each then holds a share of its own.
+    Requests rotate over the holders of a group. Daemons may disagree about the
+    holders for a while; each holder then has a share of its own.
     """
 
     def __init__(self, instance: str, groups: int, holders: int) -> None:
@@ -19,12 +19,12 @@
         self._holders = holders
         self._members: tuple[MemberView, ...] = ()
         self._ranked_by_group: dict[int, tuple[MemberView, ...]] = {}
-        self._avoided_by_instance: dict[str, float] = {}
-        self._avoid_s_by_instance: dict[str, float] = {}
+        self._avoided_until_by_instance: dict[str, float] = {}
+        self._backoff_s_by_instance: dict[str, float] = {}
         self._timeouts_by_instance: dict[str, int] = {}
 
     def update(self, members: tuple[MemberView, ...]) -> bool:
-        """Take the live daemons; tell whether they changed."""
+        """Set the live daemons; return whether they changed."""
         if members == self._members:
             return False
         self._members = members
@@ -32,49 +32,49 @@
         return True
 
     def answered(self, instance: str) -> None:
-        """Take note of an answer."""
+        """Record a reply, which ends any avoidance backoff."""
         self._timeouts_by_instance.pop(instance, None)
-        self._avoid_s_by_instance.pop(instance, None)
+        self._backoff_s_by_instance.pop(instance, None)
 
     def timed_out(self, instance: str, now: float) -> None:
-        """Take note that no answer came in time; once may be chance."""
+        """Record a request timeout; avoid the daemon after several in a row."""
         timeouts = self._timeouts_by_instance.get(instance, 0) + 1
         self._timeouts_by_instance[instance] = timeouts
-        if timeouts >= TIMEOUTS_TO_AVOID:
+        if timeouts >= AVOID_AFTER_TIMEOUTS:
             self.avoid(instance, now)
 
     def avoid(self, instance: str, now: float) -> None:
-        """Ask others for a while, longer each time: it cannot be reached."""
+        """Avoid an unreachable daemon, with exponential backoff."""
         self._timeouts_by_instance.pop(instance, None)
-        avoid_s = self._avoid_s_by_instance.get(instance, AVOID_MIN_S)
-        self._avoid_s_by_instance[instance] = min(avoid_s * 2, AVOID_MAX_S)
-        self._avoided_by_instance[instance] = now + avoid_s
+        backoff_s = self._backoff_s_by_instance.get(instance, AVOID_MIN_S)
+        self._backoff_s_by_instance[instance] = min(backoff_s * 2, AVOID_MAX_S)
+        self._avoided_until_by_instance[instance] = now + backoff_s
 
     def holder(self, group: int, now: float, turn: int = 0) -> MemberView | None:
         """
-        Return the daemon to ask, or None for this one.
+        Return the daemon to send requests to, or None for this one.
 
-        `turn` is which of the group's holders to ask if it can be reached.
+        `turn` is the index of the preferred holder in the group.
         """
-        for member in self._asked_in_order(group, turn):
+        for member in self._by_preference(group, turn):
             if member.instance == self._instance:
                 return None
-            if self._avoided_by_instance.get(member.instance, now) <= now:
+            if self._avoided_until_by_instance.get(member.instance, now) <= now:
                 return member
         return None
 
     def roles(self) -> frozenset[int]:
-        """Return the groups that this daemon is to hold."""
-        own = [group for group in range(self._groups) if self._is_own(group)]
+        """Return the groups that this daemon is a holder of."""
+        own = [group for group in range(self._groups) if self._is_holder(group)]
         return frozenset(own)
 
-    def _is_own(self, group: int) -> bool:
+    def _is_holder(self, group: int) -> bool:
         ranked = self._ranked(group)
         holders = ranked[: self._holders]
         return not ranked or any(item.instance == self._instance for item in holders)
 
-    def _asked_in_order(self, group: int, turn: int) -> tuple[MemberView, ...]:
-        """Return the holder whose turn it is, the other holders, then others."""
+    def _by_preference(self, group: int, turn: int) -> tuple[MemberView, ...]:
+        """Return the daemons by preference: holders from `turn` on, then all others."""
         ranked = self._ranked(group)
         holders = ranked[: self._holders]
         first = turn % max(1, len(holders))
--- a/damaskbay/core/rates/view.py
+++ b/damaskbay/core/rates/view.py
@@ -1,4 +1,4 @@
-"""What one observer knows of a group's ledger, and since when."""
+"""A process's view of a group's ledger, and how long its parts are unchanged."""
 
 from dataclasses import dataclass
 
@@ -13,57 +13,61 @@
 
 class LedgerView:
     """
-    The newest ledger seen, with the time since which each part stands unchanged.
+    The newest ledger read, and for how long each of its parts is unchanged.
 
-    Times are taken after an answer came, so that what stands in the ledger was
-    there at least as long as this view says.
+    Times are taken when a reply has arrived, so that a part has been unchanged for
+    at least as long as this view returns.
     """
 
     def __init__(self, *, contact_s: float) -> None:
         self.ledger = GroupLedger()
         self.revision = 0
-        self.seen_once = False
-        self.contact_at = float("-inf")
+        self.has_existed = False
+        self.last_contact_at = float("-inf")
         self._contact_s = contact_s
         self._marks_by_bucket: dict[str, _Seen] = {}
         self._sequences_by_holder: dict[str, _Seen] = {}
 
     def update(self, ledger: GroupLedger, revision: int, now: float) -> None:
-        """Take in what a read or an own write showed."""
-        in_contact = now - self.contact_at <= self._contact_s
+        """Record the ledger after a read or a successful write."""
+        in_contact = now - self.last_contact_at <= self._contact_s
         self.ledger = ledger
         self.revision = revision
-        self.seen_once = self.seen_once or revision > 0
-        self.contact_at = now
+        self.has_existed = self.has_existed or revision > 0
+        self.last_contact_at = now
         marks = {name: item.mark for name, item in ledger.buckets_by_name.items()}
-        self._marks_by_bucket = _follow(self._marks_by_bucket, marks, now)
+        self._marks_by_bucket = _track_changes(self._marks_by_bucket, marks, now)
         sequences = {name: item.sequence for name, item in ledger.holders_by_id.items()}
         known = self._sequences_by_holder if in_contact else {}
-        self._sequences_by_holder = _follow(known, sequences, now)
+        self._sequences_by_holder = _track_changes(known, sequences, now)
 
     @property
     def lost(self) -> bool:
-        """Tell whether the platform lost a ledger that was there before."""
-        return self.seen_once and self.revision == 0
+        """Return whether the platform lost a ledger that existed before."""
+        return self.has_existed and self.revision == 0
 
     def in_contact(self, now: float) -> bool:
-        """Tell whether the platform answered lately."""
-        return now - self.contact_at <= self._contact_s
+        """Return whether the platform replied within `contact_s`."""
+        return now - self.last_contact_at <= self._contact_s
 
     def observed_s(self, bucket: str, now: float) -> float:
-        """Return for how long the bucket's free part surely stands unchanged."""
+        """Return the least number of seconds for which the `mark` is unchanged."""
         seen = self._marks_by_bucket.get(bucket)
         return max(0.0, now - seen.since) if seen else 0.0
 
     def unchanged_s(self, holder: str, now: float) -> float:
-        """Return for how long the holder has surely not renewed, while in contact."""
+        """
+        Return for how many seconds at least the holder has not renewed.
+
+        0.0 without contact to the platform.
+        """
         seen = self._sequences_by_holder.get(holder)
         if seen is None or not self.in_contact(now):
             return 0.0
         return now - seen.since
 
     def lapsed(self, margin_s: float, now: float) -> tuple[str, ...]:
-        """Name the holders that surely stopped: validity and margin have passed."""
+        """Return the holders without renewal for their validity plus `margin_s`."""
         return tuple(
             holder
             for holder, record in self.ledger.holders_by_id.items()
@@ -71,12 +75,12 @@
         )
 
 
-def _follow(
+def _track_changes(
     known: dict[str, _Seen], values: dict[str, int], now: float
 ) -> dict[str, _Seen]:
-    followed = {}
+    tracked = {}
     for name, value in values.items():
         seen = known.get(name)
         same = seen is not None and seen.value == value
-        followed[name] = seen if same and seen else _Seen(value, now)
-    return followed
+        tracked[name] = seen if same and seen else _Seen(value, now)
+    return tracked
--- a/tests/core/rates/test_bucket.py
+++ b/tests/core/rates/test_bucket.py
@@ -22,7 +22,7 @@
 @settings(derandomize=True, max_examples=200)
 @given(steps)
 def test_never_more_than_rate_and_burst(items: list[tuple[str, int, int]]) -> None:
-    """Granted less returned tokens keep the bound, whatever is closed or lost."""
+    """Granted minus returned tokens stay within rate and burst under any closes."""
     bucket = HolderBucket(SHARE, level=5, now=0.0)
     now = 0.0
     net = 0
@@ -40,7 +40,7 @@
 
 
 def test_grant_counts_until_it_lapses() -> None:
-    """Granted tokens leave no room for new ones until they are closed or lapse."""
+    """Granted tokens count against the burst until their grant is closed or lapses."""
     bucket = HolderBucket(SHARE, level=5, now=0.0)
     assert bucket.grant("a", 5, lapses_at=2.0, now=0.0) == 5
     assert bucket.level(1.9) == 0
@@ -49,7 +49,7 @@
 
 
 def test_close_twice_counts_once() -> None:
-    """A repeated close gives nothing back a second time."""
+    """A repeated close returns no tokens."""
     bucket = HolderBucket(Share(0, 5_000), level=5, now=0.0)
     bucket.grant("a", 3, lapses_at=2.0, now=0.0)
     bucket.close("a", 3, 0.1)
--- a/tests/core/rates/test_differential.py
+++ b/tests/core/rates/test_differential.py
@@ -1,4 +1,4 @@
-"""The distributed counting against one bucket that sees all requests."""
+"""Comparison of the distributed buckets with one bucket that sees all calls."""
 
 import unittest
 from dataclasses import replace
@@ -35,12 +35,12 @@
 
 
 def config(version: int, rate: float) -> ConfigSet:
-    """Return a set with one workspace."""
+    """Return a configuration set with one workspace."""
     return ConfigSet(version, "d", {"w": Workspace("w", rate, BURST)})
 
 
 def fault(fleet: VirtualFleet, kind: str, domain: str, number: int) -> None:
-    """Bring about one fault or change."""
+    """Inject one fault or change."""
     holder = fleet.holder(domain, "w/w")
     if kind == "pause":
         holder.paused_until = fleet.now + number
@@ -61,7 +61,7 @@
         fleet.publish(config(version, RATE - number), within_s=1.0)
 
 
-def play(items: list[tuple[str, str, int]], options: ShareOptions) -> VirtualFleet:
+def run_steps(items: list[tuple[str, str, int]], options: ShareOptions) -> VirtualFleet:
     """Run the steps on a fleet of two domains."""
     fleet = VirtualFleet(config(1, RATE), options, seed=7)
     for domain in DOMAINS:
@@ -90,31 +90,31 @@
 )
 @given(steps)
 def _check(items: list[tuple[str, str, int]]) -> None:
-    fleet = play(items, OPTIONS)
+    fleet = run_steps(items, OPTIONS)
     arrivals = sorted(fleet.arrivals, key=lambda item: item.at)
     admitted = [item.at for item in arrivals if item.refusal is None]
     assert greatest_excess(admitted, RATE, BURST) == 0
-    verdicts = naive_admits(arrivals, RATE, BURST)
+    naive_verdicts = naive_admits(arrivals, RATE, BURST)
     COUNTED["requests"] += len(arrivals)
-    COUNTED["naive_admits"] += sum(verdicts)
-    COUNTED["wrongful"] += max(0, sum(verdicts) - len(admitted))
+    COUNTED["naive_admits"] += sum(naive_verdicts)
+    COUNTED["wrongful"] += max(0, sum(naive_verdicts) - len(admitted))
 
 
 def test_never_more_than_one_bucket_admits() -> None:
-    """Under any faults no window holds more than rate x length + burst."""
+    """No window has more calls than rate x length + burst, under any faults."""
     _check()
     print(f"\nrates: against one bucket under faults: {COUNTED}")
 
 
 def test_quiet_fleet_refuses_little() -> None:
     """
-    Without faults the whole burst is there for one domain, and again later.
+    Without faults one domain gets the complete burst, each time it has refilled.
 
-    In each burst one token may lie unused at the daemon that has no request.
+    In each burst one token may be unused at the daemon that has no call.
     """
     bursts = 5
     burst = [("requests", "a", BURST), ("wait", "", 20)]
-    fleet = play(burst * bursts, replace(OPTIONS, validity_s=900.0))
+    fleet = run_steps(burst * bursts, replace(OPTIONS, validity_s=900.0))
     refused = [item for item in fleet.arrivals if item.refusal]
     assert len(refused) <= bursts
 
--- a/tests/core/rates/test_failures.py
+++ b/tests/core/rates/test_failures.py
@@ -1,4 +1,4 @@
-"""What becomes of shares when holders, the platform or the network fail."""
+"""Tests of shares under failures of holders, the platform and the network."""
 
 import unittest
 from dataclasses import replace
@@ -15,7 +15,7 @@
 
 
 def config(version: int = 1, rate: float = RATE, burst: int = BURST) -> ConfigSet:
-    """Return a set with one workspace."""
+    """Return a configuration set with one workspace."""
     return ConfigSet(version, "d", {"w": Workspace("w", rate, burst)})
 
 
@@ -28,7 +28,7 @@
 
 
 def send(fleet: VirtualFleet, domain: str, length_s: float, per_s: float) -> int:
-    """Send requests at a steady rate and return how many were admitted."""
+    """Send calls at a steady rate and return how many were admitted."""
     start = fleet.now - fleet.started_at
     known = len(fleet.arrivals)
     for number in range(int(length_s * per_s)):
@@ -39,20 +39,20 @@
 
 
 def assert_bounded(fleet: VirtualFleet, rate: float = RATE) -> None:
-    """Assert that no window held more than rate x length + burst."""
+    """Assert that no window has more calls than rate x length + burst."""
     fleet.run_until(fleet.now - fleet.started_at + 2)
     admitted = [item.at for item in fleet.arrivals if item.refusal is None]
     assert greatest_excess(admitted, rate, BURST) == 0
 
 
 def holder_ids(fleet: VirtualFleet) -> set[str]:
-    """Return the ids of the holders that the ledgers name."""
+    """Return the ids of the holders in the ledgers."""
     ledgers = fleet.ledgers()
     return {holder for ledger in ledgers for holder in ledger.holders_by_id}
 
 
 def test_crash_is_waited_out() -> None:
-    """A crashed holder's share is out of use until its validity has passed."""
+    """A crashed holder's share stays unused until its validity has passed."""
     fleet = new_fleet()
     send(fleet, "a", 10, 9)
     crashed = fleet.holder("a", "w/w")
@@ -67,7 +67,7 @@
 
 
 def test_paused_holder_stops_by_its_own_clock() -> None:
-    """A holder that wakes after its validity spends nothing of the old share."""
+    """A holder resumed after its validity grants nothing from its old share."""
     fleet = new_fleet()
     send(fleet, "a", 10, 9)
     paused = fleet.holder("a", "w/w")
@@ -85,7 +85,7 @@
 
 
 def test_planned_stop_hands_the_share_on_at_once() -> None:
-    """Another daemon of the domain serves on within seconds of a stop."""
+    """Another daemon of the domain takes over within seconds of a planned stop."""
     fleet = new_fleet()
     send(fleet, "a", 10, 8)
     stopped = fleet.holder("a", "w/w")
@@ -100,7 +100,7 @@
 
 
 def test_outage_shorter_than_the_validity_refuses_little() -> None:
-    """A domain serves on with its share while the platform is out."""
+    """A domain keeps using its share during an outage of the platform."""
     fleet = new_fleet()
     send(fleet, "a", 10, 6)
     fleet.platform.inject(outage=True)
@@ -110,7 +110,7 @@
 
 
 def test_outage_longer_than_the_validity_stops_and_recovers() -> None:
-    """Nothing is spent after the validity; all is served soon after the outage."""
+    """No call is admitted after the validity; service resumes after the outage."""
     fleet = new_fleet()
     send(fleet, "a", 10, 6)
     fleet.platform.inject(outage=True)
@@ -126,23 +126,23 @@
 
 
 def test_cut_domain_serves_on_and_so_do_others() -> None:
-    """A domain that is cut off spends its share, the other one the rest."""
+    """A partitioned domain uses its share, the other domain the rest."""
     fleet = new_fleet()
     for _ in range(10):
         send(fleet, "a", 0.5, 6)
         send(fleet, "b", 0.5, 6)
     fleet.platform.inject(cut_clients=frozenset({"a"}))
-    cut_off = others = 0
+    partitioned = remote = 0
     for _ in range(10):
-        cut_off += send(fleet, "a", 0.5, 6)
-        others += send(fleet, "b", 0.5, 6)
-    assert cut_off >= 27
-    assert others >= 27
+        partitioned += send(fleet, "a", 0.5, 6)
+        remote += send(fleet, "b", 0.5, 6)
+    assert partitioned >= 27
+    assert remote >= 27
     assert_bounded(fleet)
 
 
 def test_restarted_holder_starts_with_nothing() -> None:
-    """A new process of a crashed instance has no part of the old share."""
+    """A new process of a crashed instance gets nothing of the old share."""
     fleet = new_fleet(replace(OPTIONS, validity_s=600.0))
     send(fleet, "a", 10, 20)
     crashed = fleet.holder("a", "w/w")
@@ -156,7 +156,7 @@
 
 
 def test_lower_rate_holds_within_seconds() -> None:
-    """A newer set with a lower rate is kept by all once they have it."""
+    """All daemons keep a lower rate once they have the newer configuration set."""
     fleet = new_fleet()
     send(fleet, "a", 10, 12)
     fleet.publish(config(2, rate=2.0), within_s=1.0)
@@ -169,7 +169,7 @@
 
 
 def test_higher_rate_is_served_and_an_older_set_does_not_lower_it() -> None:
-    """The newer set wins though some daemons still have the older one."""
+    """The newer limit wins while some daemons still have the older set."""
     fleet = new_fleet()
     send(fleet, "a", 5, 9)
     send(fleet, "b", 5, 1)
@@ -187,7 +187,7 @@
 
 
 def test_withdrawn_workspace_frees_nothing_for_itself() -> None:
-    """A workspace that is withdrawn and comes back gets no second burst."""
+    """A workspace that is withdrawn and published again gets no second burst."""
     fleet = new_fleet()
     send(fleet, "a", 1, 20)
     fleet.publish(ConfigSet(2, "e"), within_s=0.1)
@@ -202,16 +202,16 @@
     """Daemons that disagree about the holder do not double the burst."""
     fleet = new_fleet()
     members = fleet.membership_by_domain["a"]
-    everyone = members.all
+    all_members = members.all
     members.all = ()
     send(fleet, "a", 5, 30)
-    members.all = everyone
+    members.all = all_members
     send(fleet, "a", 5, 30)
     assert_bounded(fleet)
 
 
 def test_lost_and_dropped_writes() -> None:
-    """Writes whose answers are lost, or that never arrive, double nothing."""
+    """Writes that are lost, or whose replies are lost, don't double any tokens."""
     fleet = new_fleet()
     for number in range(8):
         fleet.platform.inject(lose_answers=number % 3, drop_writes=(number + 1) % 2)
@@ -220,7 +220,7 @@
 
 
 def test_refused_requests_spend_no_later_limit() -> None:
-    """A workspace over its own rate takes nothing of a limit it shares."""
+    """A workspace over its own rate spends no tokens of a shared limit."""
     workspaces = {"over": Workspace("over", 2.0, 2), "w": Workspace("w", 20.0, 20)}
     limits = {"route": Limit("route", 12.0, 12)}
     shared = ConfigSet(1, "d", workspaces, limits_by_name=limits)
--- a/tests/core/rates/test_holder.py
+++ b/tests/core/rates/test_holder.py
@@ -1,10 +1,10 @@
-"""Tests of core.rates.holder and what it rests on."""
+"""Tests of core.rates.holder and the modules that it uses."""
 
 import unittest
 
 from damaskbay.core.rates.bucket import NO_SHARE, Share
 from damaskbay.core.rates.codec import BadLedger, decode_ledger, encode_ledger
-from damaskbay.core.rates.demand import fair_parts
+from damaskbay.core.rates.demand import max_min_fair_shares
 from damaskbay.core.rates.holder import GroupHolder
 from damaskbay.core.rates.holding import Claims, Proposal
 from damaskbay.core.rates.ledger import GroupLedger, LedgerDraft
@@ -19,42 +19,42 @@
 
 
 def total_of(_bucket: str) -> Total:
-    """Return the set's total."""
+    """Return the configured limit."""
     return TOTAL
 
 
 def holder_with_share(written_at: float = 0.0) -> GroupHolder:
-    """Return a holder whose first claim was planned at 0."""
+    """Return a holder whose first claim was planned at time 0."""
     holder = GroupHolder("a/1", OPTIONS)
     holder.count(BUCKET, 4, 0.0)
     holder.grant(BUCKET, "g0", 4, 4, 0.0)
     proposal = holder.plan(total_of, 0.0)
     assert proposal is not None
-    holder.written(proposal, 1, written_at)
+    holder.write_succeeded(proposal, 1, written_at)
     return holder
 
 
 def draft(ledger: GroupLedger, observed_s: float = 0.0) -> LedgerDraft:
-    """Return a draft by a writer who knows all marks for some time."""
+    """Return a draft of a writer that has seen all marks for `observed_s`."""
     return LedgerDraft(ledger, lambda _: observed_s)
 
 
 def test_grants_end_with_the_validity() -> None:
-    """A holder looks at the clock at each grant."""
+    """A holder checks its validity at each grant."""
     holder = holder_with_share()
     assert holder.grant(BUCKET, "g1", 1, 1, 29.9) == 1
     assert holder.grant(BUCKET, "g2", 1, 1, 30.0) == 0
 
 
 def test_validity_counts_from_before_the_write() -> None:
-    """A slow answer makes the validity no longer."""
+    """A slow reply does not extend the validity."""
     holder = holder_with_share(written_at=20.0)
     assert holder.grant(BUCKET, "g1", 1, 1, 29.9) == 1
     assert holder.grant(BUCKET, "g2", 1, 1, 30.0) == 0
 
 
 def test_lower_total_holds_at_once() -> None:
-    """A newer set scales the share down before anything is written."""
+    """A lower limit scales the share down before any write."""
     holder = holder_with_share()
     before = holder.grant(BUCKET, "g1", 1, 1, 5.0)
     holder.rescale(lambda _: Total(10_000, 0, 2), 5.0)
@@ -63,17 +63,17 @@
 
 
 def test_claim_brings_only_the_tokens_that_were_free() -> None:
-    """Tokens that were spent elsewhere do not come back with the share."""
+    """A claimed share comes only with tokens that its last holder did not spend."""
     ledger = draft(GroupLedger())
     ledger.adopt_total(BUCKET, TOTAL, first_tokens=True)
-    whole = Share(10_000, 10_000)
-    assert ledger.claim(BUCKET, "a/1", whole) == (whole, 10_000)
+    full_share = Share(10_000, 10_000)
+    assert ledger.claim(BUCKET, "a/1", full_share) == (full_share, 10_000)
     ledger.lower(BUCKET, "a/1", NO_SHARE, 1_500)
-    assert ledger.claim(BUCKET, "b/1", whole) == (whole, 1_500)
+    assert ledger.claim(BUCKET, "b/1", full_share) == (full_share, 1_500)
 
 
 def test_free_part_accrues_once() -> None:
-    """What the free part accrued is counted by the mark, never twice."""
+    """The mark ensures that tokens accrued by the free share count only once."""
     first = draft(GroupLedger())
     first.adopt_total(BUCKET, TOTAL, first_tokens=False)
     second = draft(first.finish(), observed_s=0.5)
@@ -82,7 +82,7 @@
 
 
 def test_older_total_changes_nothing() -> None:
-    """No version goes back."""
+    """An older version of a limit is ignored."""
     ledger = draft(GroupLedger())
     ledger.adopt_total(BUCKET, Total(5_000, 5_000, 2), first_tokens=True)
     ledger.adopt_total(BUCKET, TOTAL, first_tokens=True)
@@ -92,7 +92,7 @@
 
 
 def test_open_write_counts_for_the_smaller_share() -> None:
-    """A write that may still land leaves no more than it would leave."""
+    """While a write is open, the holder uses the smaller of both shares."""
     full = draft(GroupLedger())
     full.adopt_total(BUCKET, TOTAL, first_tokens=True)
     full.claim(BUCKET, "a/1", Share(10_000, 10_000))
@@ -111,13 +111,13 @@
 
 
 def test_fair_parts() -> None:
-    """Small needs are met in full, the rest is split evenly."""
-    parts = fair_parts(10, {"a": 1, "b": 20, "c": 20})
-    assert parts == {"a": 1, "b": 4, "c": 5}
+    """Small needs are met in full; the remainder is split evenly."""
+    shares = max_min_fair_shares(10, {"a": 1, "b": 20, "c": 20})
+    assert shares == {"a": 1, "b": 4, "c": 5}
 
 
 def test_ledger_comes_back_as_it_went() -> None:
-    """A ledger survives its bytes; other bytes are told apart."""
+    """Decoding an encoded ledger restores it; invalid bytes give `BadLedger`."""
     proposal = holder_with_share().plan(total_of, 100.0)
     assert proposal is not None
     data = encode_ledger(proposal.ledger)
