--- a/damaskbay/core/retry/__init__.py
+++ b/damaskbay/core/retry/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions on retries: tokens of a call tree, budget of a pool, when and where."""
+"""Retry decisions: retry tokens of a call tree, retry budget of a pool, backoff."""
 
 from damaskbay.core.retry.budget import RetryBudget, RetryBudgetOptions
 from damaskbay.core.retry.decide import Retry, decide_retry
--- a/damaskbay/core/retry/budget.py
+++ b/damaskbay/core/retry/budget.py
@@ -1,4 +1,4 @@
-"""Retry budget of a pool: a share of its recent successes."""
+"""Retry budget of a pool, proportional to its recent successes."""
 
 from dataclasses import dataclass
 
@@ -12,10 +12,10 @@
 @dataclass(frozen=True, slots=True)
 class RetryBudgetOptions:
     """
-    How much a pool's retries may add to its load.
+    Limits of the load that retries add to a pool.
 
-    `share` is retries per success, `min_per_s` is what a quiet pool may retry,
-    `max_retries` is the most that can be saved up.
+    `share` is the number of retries gained per success, `min_per_s` the number
+    gained per second at any load, `max_retries` the limit of the budget.
     """
 
     share: float = BUDGET_SHARE
@@ -24,7 +24,7 @@
 
 
 class RetryBudget:
-    """Counts what one daemon may still retry towards one pool."""
+    """Budget of the retries that one daemon may send to one pool."""
 
     def __init__(self, options: RetryBudgetOptions, now: float) -> None:
         self._options = options
@@ -32,18 +32,18 @@
         self._refilled_at = now
 
     def succeeded(self) -> None:
-        """Take note of a call that succeeded."""
+        """Record a successful call, which adds to the budget."""
         self._add(self._options.share)
 
     def available(self, now: float) -> float:
-        """Return the number of retries that may be made now."""
+        """Return the number of retries in the budget, fractions included."""
         elapsed_s = max(0.0, now - self._refilled_at)
         self._refilled_at = now
         self._add(elapsed_s * self._options.min_per_s)
         return self._available
 
     def spend(self, now: float) -> bool:
-        """Take one retry out of the budget; return False where none is left."""
+        """Spend one retry of the budget; return False if none is left."""
         if self.available(now) < 1.0:
             return False
         self._available -= 1.0
--- a/damaskbay/core/retry/decide.py
+++ b/damaskbay/core/retry/decide.py
@@ -1,4 +1,4 @@
-"""The decision whether, when and where not to send a call again."""
+"""Decision whether to retry a call, after which delay and without which instance."""
 
 from dataclasses import dataclass
 from random import Random
@@ -7,20 +7,20 @@
 from damaskbay.core.outcome import Refusal
 from damaskbay.core.retry.budget import RetryBudget
 from damaskbay.core.retry.const import (
-    BACK_OFF_BASE_S,
-    BACK_OFF_MAX_S,
+    BACKOFF_BASE_S,
+    BACKOFF_MAX_S,
     MIN_TIME_LEFT_S,
+    OVERLOAD_STATUS,
     RETRIED_ELSEWHERE,
-    STATUS_SERVER_SHEDS,
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Retry:
     """
-    One more attempt, which costs the caller one of its retry tokens.
+    A retry to send after `delay_s` seconds to any instance except `excluded`.
 
-    Wait `delay_s` seconds, then send to any instance but `excluded`.
+    It costs the call one of its retry tokens.
     """
 
     delay_s: float
@@ -37,18 +37,19 @@
     rng: Random,
 ) -> Retry | None:
     """
-    Decide on another attempt and take it out of the pool's budget.
+    Return a retry and spend it from the pool's budget, or None for no retry.
 
-    `tokens` are those the call holds now: the kept ones and those handed back.
-    `attempts` counts the sends of this call so far, 1 or more. `result.served_by`
-    is the instance that failed; a refusal without one was made before any send
-    and stands. The caller subtracts one token for a `Retry`.
+    `tokens` is the number of retry tokens that the call has now: those it kept and
+    those handed back. `attempts` is the number of attempts so far, 1 or more.
+    `result.served_by` is the instance that failed; without one, the call was refused
+    before any attempt and is not retried. The caller subtracts one token for a
+    `Retry`.
     """
     if not result.served_by:
         return None
-    if tokens < 1 or not _may_run_again(result.result, context):
+    if tokens < 1 or not _is_retryable(result.result, context):
         return None
-    delay_s = _back_off_s(attempts, rng)
+    delay_s = _backoff_s(attempts, rng)
     if now + delay_s + MIN_TIME_LEFT_S >= context.deadline:
         return None
     if not budget.spend(now):
@@ -56,15 +57,16 @@
     return Retry(delay_s, result.served_by)
 
 
-def _may_run_again(result: Answer | Refusal, context: CallContext) -> bool:
+def _is_retryable(result: Answer | Refusal, context: CallContext) -> bool:
+    """Return whether the call may run again, on another instance, after this result."""
     if isinstance(result, Answer):
-        return context.idempotent and result.status == STATUS_SERVER_SHEDS
+        return context.idempotent and result.status == OVERLOAD_STATUS
     if result.reason not in RETRIED_ELSEWHERE:
         return False
     return result.not_run or context.idempotent
 
 
-def _back_off_s(attempts: int, rng: Random) -> float:
-    """Return a delay between nothing and a ceiling that doubles per attempt."""
-    ceiling_s: float = min(BACK_OFF_MAX_S, BACK_OFF_BASE_S * 2.0 ** (attempts - 1))
+def _backoff_s(attempts: int, rng: Random) -> float:
+    """Return a random delay from 0 to a ceiling that doubles with each attempt."""
+    ceiling_s: float = min(BACKOFF_MAX_S, BACKOFF_BASE_S * 2.0 ** (attempts - 1))
     return rng.uniform(0.0, ceiling_s)
--- a/damaskbay/core/retry/repeats.py
+++ b/damaskbay/core/retry/repeats.py
@@ -1,18 +1,22 @@
-"""How many repeated sends one backend server may get, kept beside it."""
+"""Retry budget of one backend server, kept by the daemon beside it."""
 
 from dataclasses import dataclass
 
 NESTED_RESERVE_SHARE = 0.5
-"""Part of what is saved that is kept for root requests: they bring whole answers."""
+"""Fraction of the saved budget reserved for retries of root calls.
+
+Only the retry of a root call makes a complete response to the caller.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class RepeatOptions:
     """
-    `ratio` is repeats per first send; `saved` is the most that can be saved up.
+    Limits of the retries that one backend server receives.
 
-    All servers of a pool together stay within the pool's ratio, since each send
-    passes the one daemon beside its server.
+    `ratio` is the number of retries per first attempt, `saved` the limit of the
+    budget. All servers of a pool together stay within the pool's ratio, since each
+    attempt passes through the one daemon beside its server.
     """
 
     ratio: float
@@ -20,29 +24,31 @@
 
 
 class RepeatBudget:
-    """Counts first sends and repeats at one server."""
+    """Budget of the retries that one backend server may receive."""
 
     def __init__(self, options: RepeatOptions) -> None:
         self._options = options
-        self._left = options.saved
+        self._retries_left = options.saved
 
     @property
     def left(self) -> float:
-        """Return how many repeats may come now; below 0 where nested ones came."""
-        return self._left
+        """Return the number of retries left; below 0 after retries by `inherited`."""
+        return self._retries_left
 
     def first(self) -> None:
-        """Count the first send of a request."""
-        self._left = min(self._options.saved, self._left + self._options.ratio)
+        """Count the first attempt of a call, which adds to the budget."""
+        self._retries_left = min(
+            self._options.saved, self._retries_left + self._options.ratio
+        )
 
     def repeat(self, *, nested: bool) -> bool:
-        """Take one repeat out of the budget; return False where it must not be sent."""
+        """Spend one retry of the budget; return False if it must not be sent."""
         reserve = NESTED_RESERVE_SHARE * self._options.saved if nested else 0.0
-        if self._left < 1.0 + reserve:
+        if self._retries_left < 1.0 + reserve:
             return False
-        self._left -= 1.0
+        self._retries_left -= 1.0
         return True
 
     def inherited(self) -> None:
-        """Count a call of a run that was itself a repeat; it is never refused."""
-        self._left -= 1.0
+        """Count a nested call made by a retried call; it is never refused."""
+        self._retries_left -= 1.0
--- a/damaskbay/core/retry/tokens.py
+++ b/damaskbay/core/retry/tokens.py
@@ -1,11 +1,11 @@
-"""Retry tokens of a call tree: split and handed back, never copied."""
+"""Split of a call tree's retry tokens, which are moved or handed back, never copied."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class TokenSplit:
-    """Tokens that stay with a call and tokens that move to its child."""
+    """Retry tokens that stay with a call, and those that move to its nested calls."""
 
     kept: int
     moved: int
@@ -13,10 +13,10 @@
 
 def split(tokens: int, *, nested: bool = True) -> TokenSplit:
     """
-    Split the tokens of a call before it is sent or calls on.
+    Return the split of a call's retry tokens before an attempt or a nested call.
 
-    The larger half moves, since a retry next to the failure repeats the least
-    work. Nothing moves to a call that makes no further calls (`nested` False).
+    The larger half moves, since a retry close to the failure repeats the least work.
+    No token moves to a call that makes no nested calls (`nested` False).
     """
     if not nested:
         return TokenSplit(kept=tokens, moved=0)
--- a/tests/core/retry/test_retry.py
+++ b/tests/core/retry/test_retry.py
@@ -23,52 +23,52 @@
 CALLS_PER_TREE = 400
 
 
-def wide_budget() -> RetryBudget:
-    """Return a budget that is not what limits the retries."""
+def unlimited_budget() -> RetryBudget:
+    """Return a budget too large to limit the retries."""
     return RetryBudget(RetryBudgetOptions(min_per_s=1e9, max_retries=1e9), 0.0)
 
 
 def decide(
     result: CallResult, context: CallContext, *, tokens: int = 1
 ) -> Retry | None:
-    """Decide on a second attempt at time 0."""
-    return decide_retry(result, context, wide_budget(), tokens, 1, 0.0, Random(1))
+    """Decide on a retry after one attempt, at time 0."""
+    return decide_retry(result, context, unlimited_budget(), tokens, 1, 0.0, Random(1))
 
 
-class Walk:
-    """Runs one random tree as the daemons do, and counts calls and attempts."""
+class RandomCallTree:
+    """A random call tree, run as by the daemons; counts its calls and attempts."""
 
-    def __init__(self, seed: int, failing: float) -> None:
+    def __init__(self, seed: int, failure_rate: float) -> None:
         self.rng = Random(seed)
-        self.failing = failing
+        self.failure_rate = failure_rate
         self.calls = 0
         self.attempts = 0
         self.tree = CallTree()
-        self.budget = wide_budget()
+        self.budget = unlimited_budget()
         self.failed = CallResult(unknown(Reason.PEER_LOST), served_by="a")
 
     def call(self, context: CallContext, levels: int) -> int:
-        """Make one call with its retries; return the tokens handed back."""
+        """Make one call with its retries; return the number of tokens handed back."""
         self.calls += 1
         tokens = context.retry_tokens
-        sends = 0
+        attempts = 0
         while True:
-            sends += 1
+            attempts += 1
             self.attempts += 1
             parts = split(tokens)
             tokens = parts.kept + self.run(context, parts.moved, levels)
-            if self.rng.random() >= self.failing:
+            if self.rng.random() >= self.failure_rate:
                 return tokens
             retry = decide_retry(
-                self.failed, context, self.budget, tokens, sends, 0.0, self.rng
+                self.failed, context, self.budget, tokens, attempts, 0.0, self.rng
             )
             if retry is None:
                 return tokens
             tokens -= 1
 
     def run(self, context: CallContext, tokens: int, levels: int) -> int:
-        """Run one attempt at its server: each nested call of it is a call."""
-        if self.rng.random() < self.failing / 2:
+        """Run one attempt with its nested calls; return the number of tokens left."""
+        if self.rng.random() < self.failure_rate / 2:
             return 0
         token = f"token-{self.attempts}"
         opened = make_context(depth=context.depth, retry_tokens=tokens)
@@ -92,24 +92,24 @@
     st.floats(0.0, 1.0),
 )
 def test_attempts_of_a_tree_are_bounded(
-    seed: int, allowance: int, levels: int, failing: float
+    seed: int, allowance: int, levels: int, failure_rate: float
 ) -> None:
-    """All attempts of a tree are at most its calls and the root's allowance."""
-    walk = Walk(seed, failing)
-    left = walk.call(make_context(retry_tokens=allowance), levels)
-    assert walk.attempts + left <= walk.calls + allowance
+    """A tree makes at most as many attempts as it has calls and root retry tokens."""
+    tree_run = RandomCallTree(seed, failure_rate)
+    left = tree_run.call(make_context(retry_tokens=allowance), levels)
+    assert tree_run.attempts + left <= tree_run.calls + allowance
 
 
 @given(st.integers(0, 1000), st.booleans())
 def test_split_keeps_the_sum(tokens: int, nested: bool) -> None:
-    """No token comes out of a split that did not go in."""
+    """A split neither adds nor loses tokens."""
     parts = split(tokens, nested=nested)
     assert parts.kept + parts.moved == tokens
     assert min(parts.kept, parts.moved) >= 0
 
 
 def test_never_after_a_non_idempotent_send() -> None:
-    """Only a refusal that is surely not run lets such a call be sent again."""
+    """A call that is not idempotent is retried only if it certainly did not run."""
     context = make_context(idempotent=False)
     lost = CallResult(unknown(Reason.PEER_LOST), served_by="a")
     assert decide(lost, context) is None
@@ -119,7 +119,7 @@
 
 
 def test_not_to_the_instance_that_failed() -> None:
-    """The retry names the instance to avoid."""
+    """The retry excludes the instance that failed."""
     lost = CallResult(unknown(Reason.PEER_LOST), served_by="a")
     retry = decide(lost, make_context())
     assert retry is not None
@@ -127,13 +127,13 @@
 
 
 def test_early_refusal_stands() -> None:
-    """A call refused before any send is not tried again, which would undo it."""
+    """A call refused before any attempt is not retried, as this undoes the refusal."""
     early = CallResult(not_run(Reason.OVERLOADED), attempts=0)
     assert decide(early, make_context()) is None
 
 
 def test_what_waiting_cannot_mend_is_not_retried() -> None:
-    """Refusals of the caller itself, cancellations and answers end the call."""
+    """Refusals due to the caller, cancellations and responses are not retried."""
     context = make_context()
     for reason in (Reason.KEY_WITHDRAWN, Reason.CANCELLED, Reason.RATE_EXCEEDED):
         assert decide(CallResult(not_run(reason), served_by="a"), context) is None
@@ -144,7 +144,7 @@
 
 
 def test_budget_is_a_share_of_successes() -> None:
-    """A pool that stops answering stops being retried."""
+    """A pool without successes gets no more retries."""
     options = RetryBudgetOptions(share=0.1, min_per_s=0.0, max_retries=50.0)
     budget = RetryBudget(options, 0.0)
     while budget.spend(0.0):
@@ -156,15 +156,15 @@
 
 
 def test_no_retry_without_budget() -> None:
-    """A call whose pool's budget is spent is not sent again."""
+    """A call is not retried if the retry budget of its pool is spent."""
     budget = RetryBudget(RetryBudgetOptions(min_per_s=0.0), 0.0)
     lost = CallResult(unknown(Reason.PEER_LOST), served_by="a")
-    made = [
+    retries = [
         decide_retry(lost, make_context(), budget, 1, 1, 0.0, Random(1))
         for _ in range(10)
     ]
-    assert made[0] is not None
-    assert made[1:] == [None] * 9
+    assert retries[0] is not None
+    assert retries[1:] == [None] * 9
 
 
 def load_tests(*_: object) -> unittest.TestSuite:
