--- a/damaskbay/core/quota/shares.py
+++ b/damaskbay/core/quota/shares.py
@@ -116,11 +116,11 @@
         counted = self._counted
         if counted is None:
             return INITIAL_SHARE
-        own = counted.own.get(workspace, 0.0)
-        total = max(own, counted.total.get(workspace, 0.0))
+        demand = counted.own.get(workspace, 0.0)
+        total = max(demand, counted.total.get(workspace, 0.0))
         if total <= 0.0:
             return 1.0 / counted.daemons
         return (
             EVEN_SPLIT_FRACTION / counted.daemons
-            + (1.0 - EVEN_SPLIT_FRACTION) * own / total
+            + (1.0 - EVEN_SPLIT_FRACTION) * demand / total
         )
--- a/damaskbay/core/rates/demand.py
+++ b/damaskbay/core/rates/demand.py
@@ -74,6 +74,7 @@
         return math.exp(-max(0.0, now - since) / decay_s)
 
     def _close_sample(self, now: float) -> None:
+        """Update the rates once a sample of at least `SAMPLE_S` is complete."""
         elapsed_s = now - self._sample_started_at
         if elapsed_s < SAMPLE_S:
             return
--- a/damaskbay/core/rates/holder.py
+++ b/damaskbay/core/rates/holder.py
@@ -287,6 +287,7 @@
     def _plan_share(
         self, write: _PlannedWrite, name: str, unresponsive: frozenset[str], now: float
     ) -> None:
+        """Draft the holder's next share of a bucket: lower it, claim more, or both."""
         state = self._states_by_bucket[name]
         record = write.draft.record(name)
         assert record is not None
@@ -371,6 +372,7 @@
 
 
 def _scaled(value: int, total: int, sized_for: int) -> int:
+    """Return a value scaled down in proportion if the limit was lowered."""
     if total >= sized_for:
         return value
     return value * total // sized_for
--- a/damaskbay/core/rates/node.py
+++ b/damaskbay/core/rates/node.py
@@ -97,6 +97,14 @@
 
 @dataclass(slots=True)
 class _GroupState:
+    """
+    State of one group at this daemon.
+
+    No request is sent to the platform before `not_before`. `write_tokens`, as of
+    `write_tokens_at`, limit the rate of writes. If `must_read`, the outcome of a
+    request is unknown, and the ledger is read before the next write.
+    """
+
     holder: GroupHolder
     request_in_flight: bool = False
     must_read: bool = False
@@ -269,6 +277,7 @@
         return group.write_tokens >= 1
 
     def _has_stepped_down(self, number: int, group: _GroupState, now: float) -> bool:
+        """Return whether this daemon is no holder and had no request lately."""
         if number in self._roles:
             return False
         return now - group.last_token_request_at > self._options.step_down_s
--- a/damaskbay/core/rates/planner.py
+++ b/damaskbay/core/rates/planner.py
@@ -115,7 +115,12 @@
     retained: int
 
     def target(self, holder: str, unmet: int) -> int:
-        """Return the holder's next value."""
+        """
+        Return the holder's next value.
+
+        If `unmet` thousandths were needed but not granted, the holder claims that many
+        or half of what is free, whichever is more.
+        """
         available = min(self.free + sum(self.held_by_holder.values()), self.total)
         fair = max_min_fair_shares(available, self.need_by_holder)[holder]
         current = self.held_by_holder[holder]
@@ -143,6 +148,7 @@
 
 
 def _round_up_to_step(millis: float) -> int:
+    """Return the next power of `NEED_STEP_FACTOR`, or 0 below one thousandth."""
     if millis < 1:
         return 0
     return int(NEED_STEP_FACTOR ** math.ceil(math.log(millis, NEED_STEP_FACTOR)))
--- a/damaskbay/core/rates/stock.py
+++ b/damaskbay/core/rates/stock.py
@@ -31,7 +31,14 @@
 
 @dataclass(slots=True)
 class _BucketStock:
-    """Granted tokens and open requests of one bucket at this daemon."""
+    """
+    Granted tokens and the token request of one bucket at this daemon.
+
+    Calls without a token are refused until `blocked_until`. `unreported_calls` is the
+    number of calls since the last request. `rotation + holder_offset` selects the
+    holder for a request: `rotation` advances with each series of requests,
+    `holder_offset` within it.
+    """
 
     demand: DemandEstimator
     lots: deque[_Lot] = field(default_factory=deque)
@@ -40,9 +47,9 @@
     prefetch_not_before: float = float("-inf")
     exceeded: bool = False
     retry_after_s: float = 0.0
-    requests: int = 0
-    turn: int = 0
-    attempt: int = 0
+    unreported_calls: int = 0
+    rotation: int = 0
+    holder_offset: int = 0
 
     def count(self, now: float) -> int:
         """Return the number of tokens that may still be spent."""
@@ -77,7 +84,7 @@
         """Count a call that needs tokens of these buckets."""
         for bucket in buckets:
             stock = self._bucket_stock(bucket, now)
-            stock.requests += 1
+            stock.unreported_calls += 1
             stock.demand.add(1, 0.0, 1.0, now)
 
     def take(self, buckets: tuple[str, ...], now: float) -> Refusal | Missing | None:
@@ -130,7 +137,7 @@
         stock.request_in_flight = False
         expires_at = asked_at + self._token_validity_s
         if grant.count > 0:
-            stock.attempt = 0
+            stock.holder_offset = 0
             lot = _Lot(grant.grant_number, holder, grant.count, now, expires_at)
             stock.lots.append(lot)
         else:
@@ -148,7 +155,7 @@
         Requests rotate over the holders, which spreads a domain's demand evenly.
         """
         stock = self._stocks_by_bucket.get(bucket)
-        return (stock.turn + stock.attempt) % self._holders if stock else 0
+        return (stock.rotation + stock.holder_offset) % self._holders if stock else 0
 
     def ask_failed(self, bucket: str, now: float) -> None:
         """Record that a request got no reply."""
@@ -183,8 +190,8 @@
 
     def _select_next_holder(self, stock: _BucketStock) -> bool:
         """Select the group's next holder; return False if all had a request."""
-        stock.attempt = (stock.attempt + 1) % self._holders
-        return stock.attempt > 0
+        stock.holder_offset = (stock.holder_offset + 1) % self._holders
+        return stock.holder_offset > 0
 
     def _spend(self, stock: _BucketStock, now: float) -> None:
         for lot in stock.lots:
@@ -206,12 +213,12 @@
         if needed == 0 and not is_low:
             return None
         self._grant_number += 1
-        requests = stock.requests
-        stock.requests = 0
+        unreported_calls = stock.unreported_calls
+        stock.unreported_calls = 0
         stock.request_in_flight = True
-        stock.turn += stock.attempt == 0
+        stock.rotation += stock.holder_offset == 0
         wanted = min(waiting + prefetch_count - count, MAX_NEEDED_TOKENS)
-        return BucketAsk(bucket, self._grant_number, needed, wanted, requests)
+        return BucketAsk(bucket, self._grant_number, needed, wanted, unreported_calls)
 
     def _refusal(self, stock: _BucketStock) -> Refusal:
         reason = Reason.SHARE_UNAVAILABLE
--- a/damaskbay/core/rates/table.py
+++ b/damaskbay/core/rates/table.py
@@ -65,8 +65,8 @@
 
     def roles(self) -> frozenset[int]:
         """Return the groups that this daemon is a holder of."""
-        own = [group for group in range(self._groups) if self._is_holder(group)]
-        return frozenset(own)
+        held_groups = [group for group in range(self._groups) if self._is_holder(group)]
+        return frozenset(held_groups)
 
     def _is_holder(self, group: int) -> bool:
         ranked = self._ranked(group)
