--- a/damaskbay/core/rates/bucket.py
+++ b/damaskbay/core/rates/bucket.py
@@ -104,6 +104,7 @@
         self._add(elapsed_s * self.share.rate_millis / MILLIS)
 
     def _add(self, count: float) -> None:
+        """Add tokens, as far as the burst has room beside the granted ones."""
         room = self.share.burst_millis / MILLIS - self._outstanding
         self._level = max(0.0, min(self._level + count, room))
 
--- a/damaskbay/core/rates/holder.py
+++ b/damaskbay/core/rates/holder.py
@@ -227,6 +227,7 @@
         self._apply_outcome(self.claims.settle(ledger, revision, now), now)
 
     def _apply_outcome(self, outcome: ProposalOutcome, now: float) -> None:
+        """Update limits, shares and tokens of the buckets after a read or write."""
         for name, state in self._states_by_bucket.items():
             state.sized_for = outcome.totals_by_bucket.get(name, state.sized_for)
             record = self.view.ledger.buckets_by_name.get(name)
@@ -355,6 +356,7 @@
         write.handed_by_bucket[name] = released
 
     def _propose(self, write: _PlannedWrite, sequence: int, now: float) -> Proposal:
+        """Return the draft as a proposal and apply its limits to the buckets."""
         proposal = Proposal(
             write.draft.finish(),
             self.view.revision,
--- a/damaskbay/core/rates/holding.py
+++ b/damaskbay/core/rates/holding.py
@@ -113,6 +113,7 @@
         return ProposalOutcome(proposal.taken_by_bucket, proposal.totals_by_bucket)
 
     def _decided(self, proposal: Proposal, revision: int) -> bool:
+        """Return whether the proposal can no longer take effect, or has done so."""
         if revision == 0:
             return proposal.expected_revision > 0
         return revision > proposal.expected_revision
--- a/damaskbay/core/rates/ledger.py
+++ b/damaskbay/core/rates/ledger.py
@@ -173,12 +173,14 @@
         return record
 
     def _store(self, bucket: str, record: BucketRecord) -> None:
+        """Set a bucket's record, with its free tokens limited to the free burst."""
         spare = min(record.spare_millis, record.free.burst_millis)
         self._buckets_by_name[bucket] = replace(record, spare_millis=spare)
 
     def _with_share(
         self, record: BucketRecord, holder: str, share: Share
     ) -> BucketRecord:
+        """Return the record with a holder's share replaced."""
         holdings = dict(record.holdings_by_holder)
         old = holdings.get(holder, Holding(NO_SHARE))
         holdings[holder] = replace(old, share=share)
--- a/damaskbay/core/rates/node.py
+++ b/damaskbay/core/rates/node.py
@@ -36,6 +36,7 @@
 
 
 def _has_burst(total: Total | None) -> bool:
+    """Return whether the bucket exists and can ever hold a token."""
     return total is not None and total.burst_millis > 0
 
 
@@ -254,6 +255,7 @@
     def _next_request(
         self, number: int, group: _GroupState, total_of: TotalOf, now: float
     ) -> LedgerCall | None:
+        """Return the platform request that is due for a group, or None."""
         holder = group.holder
         if group.must_read:
             return ReadLedger(number)
@@ -285,6 +287,7 @@
     def _reply_or_keep(
         self, pending: list[_PendingRequest], now: float
     ) -> list[Answer]:
+        """Return the replies that are ready; keep the other requests pending."""
         answers = []
         for item in pending:
             if self._grant_available(item, now):
@@ -310,6 +313,7 @@
         return is_ready or now >= pending.deadline or self._stopping
 
     def _bucket_grant(self, ask: BucketAsk, count: int, now: float) -> BucketGrant:
+        """Return the grant to reply, with a retry delay if `count` is 0."""
         if count > 0:
             return BucketGrant(ask.bucket, ask.grant_number, count)
         holder = self._group(ask.bucket).holder
--- a/damaskbay/core/rates/stock.py
+++ b/damaskbay/core/rates/stock.py
@@ -194,6 +194,7 @@
         return stock.holder_offset > 0
 
     def _spend(self, stock: _BucketStock, now: float) -> None:
+        """Spend one token of the oldest lot that has one."""
         for lot in stock.lots:
             if lot.count > 0 and now < lot.expires_at:
                 lot.count -= 1
@@ -202,6 +203,7 @@
     def _next_request(
         self, bucket: str, stock: _BucketStock, waiting: int, now: float
     ) -> BucketAsk | None:
+        """Return a request for needed tokens or a prefetch, or None if not due."""
         count = stock.count(now)
         needed = min(max(0, waiting - count), MAX_NEEDED_TOKENS)
         prefetch_count = round(stock.demand.rate_per_s(now) * PREFETCH_S)
@@ -229,5 +231,6 @@
 
 
 def _is_finished(lot: _Lot, now: float) -> bool:
+    """Return whether a lot is spent, idle or expired."""
     idle = now - lot.received_at >= LOT_IDLE_TIMEOUT_S
     return lot.count == 0 or idle or now >= lot.expires_at
--- a/damaskbay/core/rates/table.py
+++ b/damaskbay/core/rates/table.py
@@ -69,6 +69,7 @@
         return frozenset(held_groups)
 
     def _is_holder(self, group: int) -> bool:
+        """Return whether this daemon is a holder; true while no member is known."""
         ranked = self._ranked(group)
         holders = ranked[: self._holders]
         return not ranked or any(item.instance == self._instance for item in holders)
--- a/damaskbay/core/rates/view.py
+++ b/damaskbay/core/rates/view.py
@@ -78,6 +78,7 @@
 def _track_changes(
     known: dict[str, _Seen], values: dict[str, int], now: float
 ) -> dict[str, _Seen]:
+    """Return values with the time since which each is unchanged, `now` if it is new."""
     tracked = {}
     for name, value in values.items():
         seen = known.get(name)
