--- a/damaskbay/helpers/__init__.py
+++ b/damaskbay/helpers/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers without a home in one layer."""
+"""Small helpers that several layers share."""
--- a/damaskbay/helpers/cancellation.py
+++ b/damaskbay/helpers/cancellation.py
@@ -1,11 +1,15 @@
-"""A cancellation that threads may wait for or be called back by."""
+"""A thread-safe cancellation signal with callbacks."""
 
 import threading
 from collections.abc import Callable
 
 
 class Cancellation:
-    """Cancelled at most once; callbacks run once, outside the lock."""
+    """
+    Cancellation signal that fires at most once; thread-safe.
+
+    Each callback runs once, outside the lock.
+    """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -13,7 +17,7 @@
         self.cancelled = False
 
     def cancel(self) -> None:
-        """Cancel and run the callbacks on this thread."""
+        """Cancel, and run the callbacks on this thread; repeated calls do nothing."""
         with self._lock:
             if self.cancelled:
                 return
@@ -24,7 +28,7 @@
             callback()
 
     def on_cancel(self, callback: Callable[[], None]) -> None:
-        """Call back on cancellation, at once where it has already happened."""
+        """Register a callback; run it at once if already cancelled."""
         with self._lock:
             if not self.cancelled:
                 self._callbacks.append(callback)
@@ -32,7 +36,7 @@
         callback()
 
     def forget(self, callback: Callable[[], None]) -> None:
-        """Take a callback back; unknown ones are passed over."""
+        """Remove a callback; do nothing if it is not registered."""
         with self._lock:
             if callback in self._callbacks:
                 self._callbacks.remove(callback)
--- a/damaskbay/helpers/clock.py
+++ b/damaskbay/helpers/clock.py
@@ -1,4 +1,4 @@
-"""The clock that leases and deadlines are kept by."""
+"""The clock for leases and deadlines."""
 
 import time
 from collections.abc import Callable
@@ -8,4 +8,4 @@
 monotonic_s: Final[Callable[[], float]] = partial(
     time.clock_gettime, time.CLOCK_BOOTTIME
 )
-"""Returns seconds that also run while the machine is suspended."""
+"""Return monotonic seconds; time counts while the machine is suspended, too."""
--- a/damaskbay/helpers/hashing.py
+++ b/damaskbay/helpers/hashing.py
@@ -1,4 +1,4 @@
-"""Hashes that are the same in every process, for choices that daemons make alike."""
+"""Hashes that are equal in every process, so that all daemons choose alike."""
 
 import hashlib
 
@@ -6,6 +6,6 @@
 
 
 def stable_digest(*parts: object) -> bytes:
-    """Return 8 bytes that stand for some names and numbers, in this order."""
+    """Return an 8-byte digest of the parts; their order matters."""
     text = "\0".join(map(str, parts))
     return hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES).digest()
--- a/damaskbay/helpers/http_exchange.py
+++ b/damaskbay/helpers/http_exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange over `http.client`: whole answers, truthful about writes."""
+"""One HTTP exchange over `http.client` that detects incomplete responses."""
 
 import http.client
 import socket
@@ -7,7 +7,7 @@
 from typing import Final
 
 from damaskbay.core.call import Answer, Headers
-from damaskbay.helpers.http_response import WatchedResponse
+from damaskbay.helpers.http_response import TruncationDetectingResponse
 
 READ_CHUNK_BYTES: Final = 65_536
 
@@ -15,22 +15,22 @@
 
 
 class AnswerCutShortError(Exception):
-    """The answer ended before its declared length, or declares none."""
+    """The response ended before its declared length, or declares no length."""
 
 
 class AnswerTooLargeError(Exception):
-    """The answer's body exceeds the limit."""
+    """The response body exceeds the limit."""
 
 
 class Connection(http.client.HTTPConnection):
     """
-    A kept-alive connection, over TLS where a context is given.
+    A keep-alive connection, over TLS if a context is given.
 
-    `wrote` tells whether a byte of the current request may have been written,
-    `reusable` whether another request may follow, `idle_since` is in seconds.
+    `wrote` is whether any byte of the current request may have been written,
+    `reusable` whether another request may follow; `idle_since` is in seconds.
     """
 
-    response_class = WatchedResponse
+    response_class = TruncationDetectingResponse
     wrote = False
     reusable = False
     idle_since = 0.0
@@ -47,21 +47,26 @@
         self._tls = tls
 
     def connect(self) -> None:
-        """Connect; raise OSError."""
+        """Connect; raise OSError on failure."""
         super().connect()
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self._tls is not None:
             self.sock = self._tls.wrap_socket(self.sock, server_hostname=self.host)
 
     def send(self, data: object) -> None:
-        """Write; a connection is never made here, so that `wrote` is true."""
+        """
+        Write data; raise ConnectionError if not connected.
+
+        `http.client` would connect here, and `wrote` would be set although the
+        connection attempt failed.
+        """
         if self.sock is None:
-            raise ConnectionError("not connected")
+            raise ConnectionError("connection is not open")
         self.wrote = True
         super().send(data)  # type: ignore[arg-type]
 
     def is_quiet(self) -> bool:
-        """Tell whether the connection is open and has nothing to read."""
+        """Return whether the connection is open and has no data to read."""
         if self.sock is None:
             return False
         self.sock.settimeout(0)
@@ -80,7 +85,7 @@
 def write_request(
     connection: Connection, method: str, target: str, headers: Headers, body: bytes
 ) -> None:
-    """Write a request whole; `headers` hold the host and no length."""
+    """Write a complete request; `headers` contain Host but no Content-Length."""
     connection.putrequest(method, target, skip_host=True, skip_accept_encoding=True)
     for name, value in headers:
         connection.putheader(name, value)
@@ -93,14 +98,14 @@
     connection: Connection, deadline: float, clock: Callable[[], float], max_bytes: int
 ) -> Answer:
     """
-    Read an answer whole; raise where it is not.
+    Read a complete response within `max_bytes`.
 
-    `deadline` is in the clock's seconds. Raises TimeoutError,
+    `deadline` is in seconds of `clock`. Raises TimeoutError,
     AnswerCutShortError, AnswerTooLargeError, OSError and HTTPException.
     """
     response = connection.getresponse()
-    declared = response.length
-    if declared is None and not response.chunked:
+    declared_bytes = response.length
+    if declared_bytes is None and not response.chunked:
         raise AnswerCutShortError
     chunks: list[bytes] = []
     size = 0
@@ -117,8 +122,10 @@
         if size > max_bytes:
             raise AnswerTooLargeError
         chunks.append(chunk)
-    cut = isinstance(response, WatchedResponse) and response.line_cut
-    if cut or (declared is not None and size != declared):
+    truncated = (
+        isinstance(response, TruncationDetectingResponse) and response.line_truncated
+    )
+    if truncated or (declared_bytes is not None and size != declared_bytes):
         raise AnswerCutShortError
     connection.reusable = not response.will_close
     return Answer(response.status, tuple(response.getheaders()), b"".join(chunks))
--- a/damaskbay/helpers/http_headers.py
+++ b/damaskbay/helpers/http_headers.py
@@ -1,11 +1,11 @@
-"""Header lists: what belongs to one connection only, and what names a length."""
+"""Filter lists of HTTP headers, for example hop-by-hop headers."""
 
 from enum import Enum, auto
 from typing import Final
 
 from damaskbay.core.call import Headers
 
-_PLAIN_TOKENS: Final = frozenset({"close", "keep-alive"})
+_CONNECTION_OPTIONS: Final = frozenset({"close", "keep-alive"})
 
 HOP_BY_HOP: Final = frozenset(
     {
@@ -24,84 +24,85 @@
 
 
 def without(headers: Headers, names: frozenset[str]) -> Headers:
-    """Return the headers without the named ones (lower case)."""
+    """Return the headers except those in `names`, which are in lower case."""
     return tuple(item for item in headers if item[0].lower() not in names)
 
 
-MAX_SORTED_NAMES: Final = 1024
-"""Header names that a sieve remembers; bounds what callers can make it keep."""
+MAX_CACHED_NAMES: Final = 1024
+"""Header names that a filter caches; bounds the memory that callers can use up."""
 
 
-class _Fate(Enum):
-    """What becomes of a header."""
+class _Treatment(Enum):
+    """How the filter treats a header."""
 
-    KEPT = auto()
-    DROPPED = auto()
+    KEEP = auto()
+    DROP = auto()
     READ = auto()
-    READ_AND_DROPPED = auto()
+    READ_AND_DROP = auto()
     CONNECTION = auto()
 
 
 class HeaderSieve:
     """
-    Splits header lists in one pass, by names that are sorted out once.
+    Filter that extracts and removes headers in one pass.
 
-    `dropped` and those of one connection are left out; the first value of each
-    name in `read` is returned by its lower-case name. All names in lower case.
+    Headers in `dropped` and hop-by-hop headers are removed. The first value of
+    each header in `read` is returned by its lower-case name. `dropped` and `read`
+    are in lower case. The treatment of each name is cached.
     """
 
     def __init__(self, *, dropped: frozenset[str], read: frozenset[str]) -> None:
         self._dropped = dropped | HOP_BY_HOP
         self._read = read
-        self._fates: dict[str, _Fate] = {}
+        self._treatments_by_name: dict[str, _Treatment] = {}
 
     def sift(self, headers: Headers) -> tuple[Headers, dict[str, str]]:
-        """Return the headers to pass on, and the values that are read here."""
+        """Return the headers to forward, and the values of the headers to read."""
         kept: list[tuple[str, str]] = []
         values: dict[str, str] = {}
-        named: frozenset[str] = frozenset()
-        fates = self._fates
+        connection_names: frozenset[str] = frozenset()
+        treatments_by_name = self._treatments_by_name
         for item in headers:
             name = item[0]
-            fate = fates.get(name) or self._sort_out(name)
-            if fate is _Fate.KEPT:
+            treatment = treatments_by_name.get(name) or self._classify(name)
+            if treatment is _Treatment.KEEP:
                 kept.append(item)
-            elif fate is _Fate.READ_AND_DROPPED:
+            elif treatment is _Treatment.READ_AND_DROP:
                 values.setdefault(name.lower(), item[1])
-            elif fate is _Fate.READ:
+            elif treatment is _Treatment.READ:
                 values.setdefault(name.lower(), item[1])
                 kept.append(item)
-            elif fate is _Fate.CONNECTION:
-                named |= _named_in(item[1])
-        if named:
-            return without(tuple(kept), named), values
+            elif treatment is _Treatment.CONNECTION:
+                connection_names |= _listed_names(item[1])
+        if connection_names:
+            return without(tuple(kept), connection_names), values
         return tuple(kept), values
 
-    def _sort_out(self, name: str) -> _Fate:
+    def _classify(self, name: str) -> _Treatment:
         lower = name.lower()
         if lower == "connection":
-            fate = _Fate.CONNECTION
+            treatment = _Treatment.CONNECTION
         elif lower in self._read:
             dropped = lower in self._dropped
-            fate = _Fate.READ_AND_DROPPED if dropped else _Fate.READ
+            treatment = _Treatment.READ_AND_DROP if dropped else _Treatment.READ
         else:
-            fate = _Fate.DROPPED if lower in self._dropped else _Fate.KEPT
-        if len(self._fates) >= MAX_SORTED_NAMES:
-            self._fates.clear()
-        self._fates[name] = fate
-        return fate
+            treatment = _Treatment.DROP if lower in self._dropped else _Treatment.KEEP
+        if len(self._treatments_by_name) >= MAX_CACHED_NAMES:
+            self._treatments_by_name.clear()
+        self._treatments_by_name[name] = treatment
+        return treatment
 
 
-def _named_in(connection: str) -> frozenset[str]:
-    """Return the headers that a Connection header names, in lower case."""
+def _listed_names(connection: str) -> frozenset[str]:
+    """Return the header names in a Connection header, in lower case."""
     tokens = {token.strip().lower() for token in connection.split(",")}
-    return frozenset(tokens) - _PLAIN_TOKENS - {""}
+    return frozenset(tokens) - _CONNECTION_OPTIONS - {""}
 
 
-_HOP_BY_HOP_SIEVE: Final = HeaderSieve(dropped=frozenset(), read=frozenset())
+_HOP_BY_HOP_FILTER: Final = HeaderSieve(dropped=frozenset(), read=frozenset())
 
 
 def without_hop_by_hop(headers: Headers) -> Headers:
-    """Return the headers without those of one connection (RFC 9110, 7.6.1)."""
-    kept, _ = _HOP_BY_HOP_SIEVE.sift(headers)
+    """Return the headers without hop-by-hop headers (RFC 9110, 7.6.1)."""
+    kept, _ = _HOP_BY_HOP_FILTER.sift(headers)
     return kept
--- a/damaskbay/helpers/http_response.py
+++ b/damaskbay/helpers/http_response.py
@@ -1,41 +1,41 @@
-"""A response that knows whether its connection ended in the middle of a line."""
+"""A response that detects a connection that ended in the middle of a line."""
 
 import http.client
 from typing import Any, BinaryIO, cast
 
 
-class _WatchedFile:
-    """Passes reads on and takes note of lines that the end of the stream cut."""
+class _TruncationDetectingFile:
+    """File wrapper that records whether the stream ended inside a line."""
 
     def __init__(self, file: BinaryIO) -> None:
         self._file = file
-        self.line_cut = False
+        self.line_truncated = False
 
     def readline(self, limit: int = -1) -> bytes:
-        """Read a line; one without its end was cut."""
+        """Read a line; one without a line feed counts as truncated."""
         line = self._file.readline(limit)
         if not line.endswith(b"\n"):
-            self.line_cut = True
+            self.line_truncated = True
         return line
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._file, name)
 
 
-class WatchedResponse(http.client.HTTPResponse):
+class TruncationDetectingResponse(http.client.HTTPResponse):
     """
-    An HTTP response whose chunk sizes and trailer can be told from cut ones.
+    HTTP response that detects truncated chunk size lines and trailers.
 
-    `http.client` takes a size line or a trailer that the end of the connection
-    cuts for a whole one, so that a cut body would pass for whole.
+    `http.client` accepts a size line or a trailer that is truncated by the end of
+    the connection, so a truncated body would look complete.
     """
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
         super().__init__(*arguments, **options)
-        self._watched = _WatchedFile(self.fp)
-        self.fp = cast(Any, self._watched)
+        self._detecting_file = _TruncationDetectingFile(self.fp)
+        self.fp = cast(Any, self._detecting_file)
 
     @property
-    def line_cut(self) -> bool:
-        """Tell whether the connection ended inside a line."""
-        return self._watched.line_cut
+    def line_truncated(self) -> bool:
+        """Return whether the connection ended inside a line."""
+        return self._detecting_file.line_truncated
--- a/damaskbay/helpers/keys.py
+++ b/damaskbay/helpers/keys.py
@@ -1,4 +1,4 @@
-"""Callers' keys: made here, published as digests, found wherever they stand."""
+"""Callers' keys: generation, digests, and detection and redaction in texts."""
 
 import base64
 import binascii
@@ -15,30 +15,32 @@
 
 
 def new_key_secret() -> str:
-    """Return a new secret of high entropy."""
+    """Return a new random key: the prefix and 32 random bytes in URL-safe base64."""
     return KEY_PREFIX + secrets.token_urlsafe(KEY_RANDOM_BYTES)
 
 
 def digest_of(secret: str) -> str:
-    """Return the SHA-256 digest in hex that the operators' set holds."""
+    """Return the SHA-256 digest of a key in hex, as configuration sets store it."""
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
 def holds_key(text: str, presented: str | None) -> bool:
     """
-    Tell whether a text carries a key, plain, percent-encoded or in Basic form.
+    Return whether a text contains a key: plain, percent-encoded or in Basic form.
 
-    `presented` is the key that came with the request, whatever its shape.
+    `presented` is the key sent with the request; it need not match the key format.
     """
-    if _holds_plain(text, presented):
+    if _contains_plain_key(text, presented):
         return True
-    if ("%" in text or "+" in text) and _holds_plain(unquote_plus(text), presented):
+    if ("%" in text or "+" in text) and _contains_plain_key(
+        unquote_plus(text), presented
+    ):
         return True
-    return _holds_plain(_basic_text(text), presented)
+    return _contains_plain_key(_decode_basic_credentials(text), presented)
 
 
 def body_holds_key(body: bytes, presented: str | None) -> bool:
-    """Tell whether a body carries a key in plain form."""
+    """Return whether a body contains a key in plain form."""
     if presented and presented.encode() in body:
         return True
     prefix = KEY_PREFIX.encode()
@@ -48,20 +50,20 @@
 
 
 def redact(text: str) -> str:
-    """Return the text with every key replaced, for logs."""
+    """Return the text with every key replaced by a placeholder, for logs."""
     return _KEY_PATTERN.sub(KEY_PREFIX + "[redacted]", text)
 
 
-def _holds_plain(text: str, presented: str | None) -> bool:
+def _contains_plain_key(text: str, presented: str | None) -> bool:
     if presented and presented in text:
         return True
     return KEY_PREFIX in text and _KEY_PATTERN.search(text) is not None
 
 
-def _basic_text(value: str) -> str:
-    if value[: len(_BASIC_PREFIX)].lower() != _BASIC_PREFIX:
+def _decode_basic_credentials(header_value: str) -> str:
+    if header_value[: len(_BASIC_PREFIX)].lower() != _BASIC_PREFIX:
         return ""
     try:
-        return base64.b64decode(value[len(_BASIC_PREFIX) :]).decode("latin-1")
+        return base64.b64decode(header_value[len(_BASIC_PREFIX) :]).decode("latin-1")
     except (binascii.Error, ValueError):
         return ""
--- a/damaskbay/helpers/logs.py
+++ b/damaskbay/helpers/logs.py
@@ -1,4 +1,4 @@
-"""Set up logging: text or JSON lines, keys redacted, storms counted."""
+"""Set up logging: text or JSON lines, redacted keys, rate-limited messages."""
 
 import atexit
 import logging
@@ -16,12 +16,16 @@
 
 TEXT_FORMAT: Final = "%(asctime)s %(levelname)s %(message)s"
 JSON_FORMAT: Final = "%(asctime)s %(levelname)s %(name)s %(message)s"
-MAX_REMEMBERED_MESSAGES: Final = 1000
+MAX_TRACKED_MESSAGES: Final = 1000
 MAX_QUEUED_LINES: Final = 2000
 
 
-class StormFilter(logging.Filter):
-    """Lets `lines_per_s` of each message through and counts the others."""
+class RateLimitFilter(logging.Filter):
+    """
+    Filter that passes `lines_per_s` of each message and counts the rest.
+
+    Records with the same logger, message and `why` count as one message.
+    """
 
     def __init__(
         self, lines_per_s: float, clock: Callable[[], float] = monotonic_s
@@ -34,34 +38,34 @@
         self.dropped = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Tell whether the record may pass."""
+        """Return whether the record is within the rate limit."""
         why = getattr(record, "why", "")
         key = (record.name, f"{record.msg} {why}")
         now = self._clock()
         with self._lock:
-            began, count = self._windows.get(key, (now, 0))
-            if now - began >= 1.0:
-                self._report(record, count)
-                began, count = now, 0
-            if len(self._windows) >= MAX_REMEMBERED_MESSAGES:
+            window_start, count = self._windows.get(key, (now, 0))
+            if now - window_start >= 1.0:
+                self._append_suppressed_count(record, count)
+                window_start, count = now, 0
+            if len(self._windows) >= MAX_TRACKED_MESSAGES:
                 self._windows.clear()
-            self._windows[key] = (began, count + 1)
+            self._windows[key] = (window_start, count + 1)
             if count >= self._lines_per_s:
                 self.dropped += 1
                 return False
         return True
 
-    def _report(self, record: logging.LogRecord, count: int) -> None:
-        left_out = count - int(self._lines_per_s)
-        if left_out > 0:
-            record.msg = f"{record.msg} ({left_out} more like this left out.)"
+    def _append_suppressed_count(self, record: logging.LogRecord, count: int) -> None:
+        suppressed = count - int(self._lines_per_s)
+        if suppressed > 0:
+            record.msg = f"{record.msg} ({suppressed} more like this suppressed.)"
 
 
 class RedactFilter(logging.Filter):
-    """Replaces callers' keys in messages and their arguments."""
+    """Filter that redacts callers' keys in messages, arguments and tracebacks."""
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Redact the record; it always passes."""
+        """Redact the record in place; return True always."""
         record.msg = redact(record.getMessage())
         record.args = ()
         if record.exc_info and not record.exc_text:
@@ -72,36 +76,41 @@
 
 
 class BoundedQueueHandler(logging.handlers.QueueHandler):
-    """Hands records to a writing thread; drops and counts them where it is behind."""
+    """
+    Handler that queues records for a writer thread.
+
+    Records are dropped and counted while the queue is full.
+    """
 
     dropped = 0
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Queue a record without waiting."""
+        """Queue a record without blocking."""
         try:
             self.queue.put_nowait(record)
         except queue.Full:
             self.dropped += 1
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        """Leave formatting to the writing thread."""
+        """Return the record as it is; the writer thread formats it."""
         return record
 
 
 def set_up_queued_logging(
     *, level: str, lines_per_s: float, stream: TextIO
 ) -> BoundedQueueHandler:
-    """Write JSON lines to a stream from a thread of its own; never block a caller."""
+    """Write JSON lines to a stream from a separate thread; never block a caller."""
     writer = logging.StreamHandler(stream)
     writer.setFormatter(JsonFormatter(JSON_FORMAT))
     records: queue.Queue[logging.LogRecord] = queue.Queue(MAX_QUEUED_LINES)
     handler = BoundedQueueHandler(records)
-    handler.addFilter(StormFilter(lines_per_s))
+    handler.addFilter(RateLimitFilter(lines_per_s))
     handler.addFilter(RedactFilter())
     listener = logging.handlers.QueueListener(records, writer)
     listener.start()
     atexit.register(listener.stop)
-    # Each costs a look-up a line, one a system call; no line shows them.
+    # Each of these costs a lookup per line, one even a system call, and no line
+    # contains them.
     logging.logThreads = logging.logProcesses = logging.logMultiprocessing = False
     root = logging.getLogger()
     root.handlers[:] = [handler]
@@ -109,18 +118,20 @@
     return handler
 
 
-def set_up_logging(*, level: str, log_format: str, lines_per_s: float) -> StormFilter:
-    """Send all logs to standard error; return the filter that counts storms."""
+def set_up_logging(
+    *, level: str, log_format: str, lines_per_s: float
+) -> RateLimitFilter:
+    """Send all logs to standard error; return the rate limit filter."""
     handler = logging.StreamHandler(sys.stderr)
     if log_format == "json":
         handler.setFormatter(JsonFormatter(JSON_FORMAT))
     else:
         handler.setFormatter(logging.Formatter(TEXT_FORMAT))
-    storms = StormFilter(lines_per_s)
-    handler.addFilter(storms)
+    rate_limit_filter = RateLimitFilter(lines_per_s)
+    handler.addFilter(rate_limit_filter)
     handler.addFilter(RedactFilter())
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
     logging.getLogger("waitress.queue").setLevel(logging.ERROR)
-    return storms
+    return rate_limit_filter
--- a/damaskbay/helpers/task.py
+++ b/damaskbay/helpers/task.py
@@ -1,4 +1,4 @@
-"""A task: one thread that owns its state and is talked to by messages."""
+"""Base class of tasks: a thread that owns its state and handles messages."""
 
 import logging
 import queue
@@ -17,16 +17,15 @@
 
 
 class _Stop:
-    """Ends the loop."""
+    """Sentinel in the inbox that ends the loop."""
 
 
 class Task(ABC):
     """
-    A loop on a thread of its own, entered and left as a context manager.
+    Message loop on a separate thread; a context manager.
 
-    Only `handle` and `tick` touch the task's state. `now` is in seconds of the
-    clock given at construction. An exception in either is logged and the loop
-    goes on.
+    Only `handle` and `tick` may access the task's state. Their `now` is in seconds
+    of `clock`. If one raises an exception, it is logged and the loop continues.
     """
 
     def __init__(
@@ -42,10 +41,10 @@
         self._tick_s = tick_s
         self._inbox: queue.Queue[Any] = queue.Queue(inbox_messages)
         self._executor = ThreadPoolExecutor(1, thread_name_prefix=name)
-        self._running: Future[None] | None = None
+        self._run_future: Future[None] | None = None
 
     def __enter__(self) -> Self:
-        self._running = self._executor.submit(self._run)
+        self._run_future = self._executor.submit(self._run)
         return self
 
     def __exit__(
@@ -58,7 +57,7 @@
         self._executor.shutdown()
 
     def post(self, message: Any) -> bool:
-        """Queue a message; return False where the inbox is full."""
+        """Queue a message; return False if the inbox is full. Thread-safe."""
         try:
             self._inbox.put_nowait(message)
         except queue.Full:
@@ -70,7 +69,7 @@
         """Handle one message."""
 
     def tick(self, now: float) -> None:  # noqa: B027
-        """Do what is due; called about every `tick_s`."""
+        """Do periodic work; called about every `tick_s`."""
 
     def _run(self) -> None:
         next_tick = self.clock()
@@ -84,12 +83,12 @@
                 return
             now = self.clock()
             if item is not None:
-                self._guard(self.handle, item, now)
+                self._call_and_log_errors(self.handle, item, now)
             if now >= next_tick:
-                self._guard(self.tick, now)
+                self._call_and_log_errors(self.tick, now)
                 next_tick = now + self._tick_s
 
-    def _guard(self, step: Callable[..., None], *arguments: Any) -> None:
+    def _call_and_log_errors(self, step: Callable[..., None], *arguments: Any) -> None:
         try:
             step(*arguments)
         except Exception:
--- a/damaskbay/helpers/wsgi_server.py
+++ b/damaskbay/helpers/wsgi_server.py
@@ -1,4 +1,4 @@
-"""Run a WSGI application by `waitress` on a thread, with a graceful stop."""
+"""Run a WSGI application with `waitress` on a thread, with graceful shutdown."""
 
 import logging
 import threading
@@ -20,10 +20,10 @@
 @dataclass(frozen=True, slots=True)
 class WsgiOptions:
     """
-    Where and how to listen. `port` 0 takes a free one.
+    Listener options; `port` 0 selects a free port.
 
-    `max_body_bytes` bounds request bodies; `lookahead` above 0 lets the
-    application ask whether the caller has hung up.
+    `max_body_bytes` limits request bodies. With `lookahead` above 0 the
+    application can check whether the caller has disconnected.
     """
 
     host: str
@@ -37,30 +37,30 @@
     lookahead: int = 0
 
 
-class _Drain:
-    """Shared mark of one server: connections are to be closed after an answer."""
+class _DrainFlag:
+    """Drain flag that a server shares with its connections."""
 
-    on = False
+    active = False
 
 
 class WsgiServer:
     """
-    One listener with its threads; entered and left as a context manager.
+    Listener with worker threads; a context manager.
 
-    `drain` closes the listener and lets open connections end after their next
-    answer; leaving closes what is left.
+    `drain` closes the listener and each open connection after its next response;
+    leaving the context closes the remaining connections.
     """
 
     def __init__(
         self, application: Callable[..., Any], options: WsgiOptions, *, name: str
     ) -> None:
-        self._drain = _Drain()
-        self._map: dict[int, Any] = {}
+        self._drain_flag = _DrainFlag()
+        self._socket_map: dict[int, Any] = {}
         dispatcher = ThreadedTaskDispatcher()
         dispatcher.set_thread_count(options.threads)
-        self._server = _server_class(self._drain)(
+        self._server = _draining_server_class(self._drain_flag)(
             application,
-            self._map,
+            self._socket_map,
             _start=True,
             dispatcher=dispatcher,
             host=options.host,
@@ -80,11 +80,11 @@
         self._name = name
         self._executor = ThreadPoolExecutor(1, thread_name_prefix=name)
         self._stop = threading.Event()
-        self._running: Future[None] | None = None
+        self._run_future: Future[None] | None = None
         self.port: int = self._server.effective_port
 
     def __enter__(self) -> Self:
-        self._running = self._executor.submit(self._run)
+        self._run_future = self._executor.submit(self._run)
         return self
 
     def __exit__(
@@ -97,22 +97,22 @@
         self._executor.shutdown()
 
     def drain(self) -> None:
-        """Accept no new connection; close each open one after its next answer."""
-        self._drain.on = True
+        """Stop accepting connections; close each open one after its next response."""
+        self._drain_flag.active = True
         self._server.trigger.pull_trigger(self._close_listener)
 
     def open_connections(self) -> int:
-        """Return how many callers are connected."""
+        """Return the number of open connections."""
         return len(self._server.active_channels)
 
     def close_idle(self) -> None:
-        """Close connections that carry no request at the moment."""
+        """Close connections that have no request in flight."""
         self._server.trigger.pull_trigger(self._close_idle)
 
     def _run(self) -> None:
         server = self._server
         while not self._stop.is_set():
-            server.asyncore.loop(POLL_S, use_poll=True, map=self._map, count=1)
+            server.asyncore.loop(POLL_S, use_poll=True, map=self._socket_map, count=1)
         self._dispatcher.shutdown(timeout=1)
         for channel in list(server.active_channels.values()):
             channel.handle_close()
@@ -131,29 +131,29 @@
                 channel.will_close = True
 
 
-def _server_class(drain: _Drain) -> type[TcpWSGIServer]:
-    """Return a server class whose answers say `Connection: close` while draining."""
+def _draining_server_class(drain_flag: _DrainFlag) -> type[TcpWSGIServer]:
+    """Return a server class that sends `Connection: close` while draining."""
 
     class DrainingTask(WSGITask):  # type: ignore[misc]
-        """Ends the connection after the answer while the server drains."""
+        """Task that closes its connection after the response while draining."""
 
         def start(self) -> None:
             super().start()
-            if drain.on:
+            if drain_flag.active:
                 self.set_close_on_finish()
 
         def finish(self) -> None:
             super().finish()
-            # Else the answer waits until the loop's thread wakes up to write it.
+            # Otherwise the response is not written until the loop's thread wakes up.
             self.channel._flush_some_if_lockable(do_close=False)
 
     class DrainingChannel(HTTPChannel):  # type: ignore[misc]
-        """A connection whose tasks look at the drain mark."""
+        """Connection whose tasks check the drain flag."""
 
         task_class = DrainingTask
 
     class DrainingServer(TcpWSGIServer):  # type: ignore[misc]
-        """A server whose connections look at the drain mark."""
+        """Server whose connections check the drain flag."""
 
         channel_class = DrainingChannel
 
--- a/tests/helpers/__init__.py
+++ b/tests/helpers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of helpers."""
+"""Tests of the helpers package."""
--- a/tests/helpers/test_logs.py
+++ b/tests/helpers/test_logs.py
@@ -8,8 +8,8 @@
 from damaskbay.helpers.keys import new_key_secret
 from damaskbay.helpers.logs import (
     MAX_QUEUED_LINES,
+    RateLimitFilter,
     RedactFilter,
-    StormFilter,
     set_up_queued_logging,
 )
 from tests.common import function_suite
@@ -20,15 +20,15 @@
 
 
 def test_storms_are_cut_and_counted() -> None:
-    """Only so many of one message pass in a second; the next one tells how many."""
+    """Each message is limited per second; the next line has the suppressed count."""
     now = 0.0
-    storms = StormFilter(3, clock=lambda: now)
-    passed = sum(storms.filter(_record("edge: %s.", number)) for number in range(10))
-    assert (passed, storms.dropped) == (3, 7)
-    assert storms.filter(_record("other"))
+    limiter = RateLimitFilter(3, clock=lambda: now)
+    passed = sum(limiter.filter(_record("edge: %s.", number)) for number in range(10))
+    assert (passed, limiter.dropped) == (3, 7)
+    assert limiter.filter(_record("other"))
     now = 1.5
     late = _record("edge: %s.", 11)
-    assert storms.filter(late)
+    assert limiter.filter(late)
     assert "7 more" in late.getMessage()
 
 
@@ -44,23 +44,23 @@
     assert key not in logging.Formatter().format(record)
 
 
-class _StuckReader(io.StringIO):
-    """A stream whose reader reads nothing until it is let go."""
+class _BlockedStream(io.StringIO):
+    """A stream whose writes block until `unblocked` is set."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.go = threading.Event()
+        self.unblocked = threading.Event()
 
     def write(self, text: str) -> int:
-        self.go.wait(10)
+        self.unblocked.wait(10)
         return super().write(text)
 
 
 def test_a_flood_never_blocks_and_stays_bounded() -> None:
-    """With a reader that reads nothing lines are dropped and counted."""
+    """Lines are dropped and counted while writes to the stream block."""
     root = logging.getLogger()
     handlers, level = root.handlers[:], root.level
-    stream = _StuckReader()
+    stream = _BlockedStream()
     handler = set_up_queued_logging(level="INFO", lines_per_s=1e9, stream=stream)
     logger = logging.getLogger("tests.flood")
     try:
@@ -68,26 +68,26 @@
             logger.info("ingress: request refused.", extra={"request_id": number})
         assert handler.dropped >= 2 * MAX_QUEUED_LINES - 10
     finally:
-        stream.go.set()
+        stream.unblocked.set()
         root.handlers[:], root.level = handlers, level
 
 
 def test_lines_of_one_reason_are_cut_and_counted() -> None:
-    """Another reason has lines of its own."""
+    """Lines with another `why` are limited separately."""
     now = [100.0]
-    storms = StormFilter(3.0, lambda: now[0])
+    limiter = RateLimitFilter(3.0, lambda: now[0])
 
     def record(why: str) -> logging.LogRecord:
         made = logging.LogRecord("n", logging.INFO, "f", 1, "m", (), None)
         made.why = why
         return made
 
-    assert [storms.filter(record("a")) for _ in range(5)] == [True] * 3 + [False] * 2
-    assert storms.filter(record("b"))
+    assert [limiter.filter(record("a")) for _ in range(5)] == [True] * 3 + [False] * 2
+    assert limiter.filter(record("b"))
     now[0] += 1.5
     later = record("a")
-    assert storms.filter(later)
-    assert "2 more like this left out" in later.msg
+    assert limiter.filter(later)
+    assert "2 more like this suppressed" in later.msg
 
 
 def load_tests(*_: object) -> unittest.TestSuite:
--- a/tests/helpers/test_messages.py
+++ b/tests/helpers/test_messages.py
@@ -24,19 +24,19 @@
 
 @given(st.text(max_size=20), st.integers(0, 2**40), st.binary(max_size=50))
 def test_round_trip(name: str, count: int, body: bytes) -> None:
-    """A message comes back as it went."""
+    """Unpacking a packed message returns an equal message."""
     sample = Sample(name, count, body, (("a", 1),))
     assert unpack(pack(sample), max_bytes=MAX_BYTES) == sample
 
 
 @given(st.binary(max_size=200))
 def test_garbage_is_a_value_not_an_exception(data: bytes) -> None:
-    """Any bytes give a message or a BadMessage."""
+    """Unpacking any bytes returns a message or BadMessage and raises nothing."""
     unpack(data, max_bytes=MAX_BYTES)
 
 
 def test_too_large() -> None:
-    """A message over the limit is not decoded."""
+    """A message over the size limit is rejected."""
     data = pack(Sample("a", 1, b"x" * MAX_BYTES))
     assert isinstance(unpack(data, max_bytes=MAX_BYTES), BadMessage)
 
