--- a/damaskbay/daemon/__init__.py
+++ b/damaskbay/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: tasks that own their state and talk by messages."""
+"""The daemon: tasks that own their state and communicate by messages."""
--- a/damaskbay/daemon/config_messages.py
+++ b/damaskbay/daemon/config_messages.py
@@ -1,4 +1,4 @@
-"""What the parts of the configuration service tell each other."""
+"""Messages and interfaces between the parts of the configuration service."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The head record as read; `problem` tells why no set can follow from it."""
+    """Head record as read; `problem` is not empty if no set can be loaded from it."""
 
     revision: int
     version: int
@@ -23,45 +23,49 @@
 
 @dataclass(frozen=True, slots=True)
 class SourceUnavailable:
-    """The platform gave no answer."""
+    """Result if the platform did not reply."""
 
     detail: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class SetInvalid:
-    """The platform answered, and what stands there is no valid set."""
+class InvalidSet:
+    """Result if the set stored in the platform is invalid."""
 
     detail: str
 
 
 class SetSource(Protocol):
-    """Reads accepted sets from the platform. Both methods block."""
+    """Reader of accepted configuration sets in the platform. Both methods block."""
 
     def watch(
         self, *, after_revision: int, timeout_s: float
     ) -> Head | SourceUnavailable | None:
-        """Wait for a head beyond a revision; None: time is up without one."""
+        """Wait for a head above a revision; return None on timeout."""
         ...
 
     def load(
         self, head: Head, held: Document | None, *, timeout_s: float
-    ) -> Document | SourceUnavailable | SetInvalid:
-        """Return the whole, checked set of a head; `held` spares equal parts."""
+    ) -> Document | SourceUnavailable | InvalidSet:
+        """
+        Return the complete, validated set of a head.
+
+        Parts that are equal in `held` are not read again.
+        """
         ...
 
 
-class Contacts(Protocol):
-    """Knows a few daemons of each failure domain. Safe from any thread."""
+class ContactDirectory(Protocol):
+    """Directory of a few daemons of each failure domain. Thread-safe."""
 
     def contacts_by_domain(self) -> Mapping[str, tuple[PeerAddress, ...]]:
-        """Return peer addresses, the own domain's too; empty while unknown."""
+        """Return peer addresses, including the local domain's; empty while unknown."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
-    """A relay read a newer set."""
+class SetLoaded:
+    """Message that a relay has loaded a newer set."""
 
     version: int
     document: Document
@@ -69,22 +73,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Proven:
-    """A relay read that the head still is what it was."""
+class HeadUnchanged:
+    """Message that a relay has read the head and found no change."""
 
     proof: Proof
 
 
 @dataclass(frozen=True, slots=True)
 class UnusableHead:
-    """A relay found a head that it can't use."""
+    """Message that a relay has read a head that it cannot use."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message of another daemon."""
+    """Message from a peer."""
 
     peer: PeerIdentity
     message: Poll | Pull | Push
@@ -92,25 +96,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerAnswer:
-    """The answer to a message sent at `asked_at`, or a PeerFailure."""
+class PeerReply:
+    """Reply to a request sent at `sent_at`, or a PeerFailure."""
 
     address: PeerAddress
     domain: str
-    asked_at: float
-    answer: Any
+    sent_at: float
+    reply: Any
 
 
 @dataclass(frozen=True, slots=True)
 class Subscription:
-    """A callback to call with each newer set."""
+    """Callback to call with the active and each newer set."""
 
     callback: Callable[[ConfigSet], None]
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigReport:
-    """What `status` tells of the configuration on this daemon."""
+    """State of the configuration on this daemon, as `status` shows it."""
 
     version: int
     digest: str
--- a/damaskbay/daemon/config_polling.py
+++ b/damaskbay/daemon/config_polling.py
@@ -1,4 +1,4 @@
-"""Whom to ask for the newest version, and when."""
+"""Select the daemons to poll for the newest version, and the times."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -7,109 +7,112 @@
 from damaskbay.core.dissemination.messages import Push
 from damaskbay.core.dissemination.options import DisseminationOptions
 from damaskbay.core.dissemination.order import FleetOrder
-from damaskbay.daemon.config_messages import Contacts
+from damaskbay.daemon.config_messages import ContactDirectory
 from damaskbay.ports.fleet import MemberView
 from damaskbay.ports.peer import PeerAddress, PeerIdentity
 
-_REMEMBERED_PUSHES = 64
+_MAX_RECENT_PUSHES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class PollTarget:
-    """A daemon to ask."""
+    """Daemon to poll."""
 
     address: PeerAddress
     failure_domain: str
 
 
-class Polling:
+class PollScheduler:
     """
-    Takes turns between the trees of the relays, with a random member now and then.
+    Scheduler that alternates between the relays' trees and random members.
 
-    Two trees have different inner daemons, so one that stopped costs one period;
-    in place of a parent that did not answer comes one of the backups.
+    Each relay is the root of a tree, and a poll goes to the parent in that tree.
+    The trees have different inner daemons, so a stopped daemon delays its children
+    by one period only. If a parent did not reply, a backup is polled instead.
     """
 
     def __init__(
         self,
         identity: PeerIdentity,
         order: FleetOrder,
-        backups: FleetOrder,
-        contacts: Contacts,
+        backup_order: FleetOrder,
+        contacts: ContactDirectory,
         options: DisseminationOptions,
         rng: Random,
     ) -> None:
         self._identity = identity
         self._order = order
-        self._backups = backups
+        self._backup_order = backup_order
         self._contacts = contacts
         self._options = options
         self._rng = rng
-        self._turn = rng.randrange(options.random_poll_every)
-        self._next_poll = 0.0
-        self._failed: set[PeerAddress] = set()
-        self._pushes: OrderedDict[tuple[str, int], None] = OrderedDict()
-
-    def due(self, now: float, *, ask_domains: bool) -> list[PollTarget]:
-        """Return whom to ask now; none between two periods."""
-        if now < self._next_poll:
+        self._poll_number = rng.randrange(options.random_poll_every)
+        self._next_poll_at = 0.0
+        self._unresponsive: set[PeerAddress] = set()
+        self._recent_pushes: OrderedDict[tuple[str, int], None] = OrderedDict()
+
+    def due_targets(
+        self, now: float, *, include_remote_domains: bool
+    ) -> list[PollTarget]:
+        """Return the daemons to poll now; none before the next period begins."""
+        if now < self._next_poll_at:
             return []
-        self._next_poll = now + self._options.poll_period_s
-        self._turn += 1
-        member = self._member()
-        targets = [] if member is None else [_target(member)]
-        return targets + (self._in_other_domains() if ask_domains else [])
-
-    def domains(self) -> tuple[str, ...] | None:
-        """Return the other failure domains, None while it is unknown which."""
+        self._next_poll_at = now + self._options.poll_period_s
+        self._poll_number += 1
+        member = self._select_member()
+        targets = [] if member is None else [_target_for(member)]
+        return targets + (self._remote_targets() if include_remote_domains else [])
+
+    def remote_domains(self) -> tuple[str, ...] | None:
+        """Return the remote failure domains; None while they are unknown."""
         by_domain = self._contacts.contacts_by_domain()
         if not by_domain:
             return None
-        own = self._identity.failure_domain
-        return tuple(domain for domain in by_domain if domain != own)
+        local = self._identity.failure_domain
+        return tuple(domain for domain in by_domain if domain != local)
 
-    def failed(self, address: PeerAddress) -> None:
-        """Take note that a daemon did not answer."""
-        self._failed.add(address)
+    def record_failure(self, address: PeerAddress) -> None:
+        """Record that a daemon did not reply to a poll."""
+        self._unresponsive.add(address)
 
-    def first_push(self, push: Push) -> bool:
-        """Tell whether a push of this root and version comes for the first time."""
+    def record_push(self, push: Push) -> bool:
+        """Record a push; return whether it is the first of its root and version."""
         key = (push.root, push.version)
-        if key in self._pushes:
+        if key in self._recent_pushes:
             return False
-        self._pushes[key] = None
-        if len(self._pushes) > _REMEMBERED_PUSHES:
-            self._pushes.popitem(last=False)
+        self._recent_pushes[key] = None
+        if len(self._recent_pushes) > _MAX_RECENT_PUSHES:
+            self._recent_pushes.popitem(last=False)
         return True
 
-    def _member(self) -> MemberView | None:
-        if self._turn % self._options.random_poll_every == 0:
-            return self._random_of(self._order.members)
+    def _select_member(self) -> MemberView | None:
+        if self._poll_number % self._options.random_poll_every == 0:
+            return self._random_peer(self._order.members)
         leaders = self._order.leaders
         if not leaders:
             return None
-        root = leaders[self._turn % len(leaders)]
+        root = leaders[self._poll_number % len(leaders)]
         parent = self._order.parent(root.instance, self._options.poll_fanout)
         if parent is None:
-            return self._random_of(self._backups.leaders)
-        if parent.address in self._failed:
-            self._failed.discard(parent.address)
-            return self._random_of(self._backups.leaders)
+            return self._random_peer(self._backup_order.leaders)
+        if parent.address in self._unresponsive:
+            self._unresponsive.discard(parent.address)
+            return self._random_peer(self._backup_order.leaders)
         return parent
 
-    def _random_of(self, members: tuple[MemberView, ...]) -> MemberView | None:
+    def _random_peer(self, members: tuple[MemberView, ...]) -> MemberView | None:
         own = self._identity.instance
-        others = [item for item in members if item.instance != own]
-        return self._rng.choice(others) if others else None
+        peers = [item for item in members if item.instance != own]
+        return self._rng.choice(peers) if peers else None
 
-    def _in_other_domains(self) -> list[PollTarget]:
+    def _remote_targets(self) -> list[PollTarget]:
         by_domain = self._contacts.contacts_by_domain()
         return [
-            PollTarget(addresses[self._turn % len(addresses)], domain)
+            PollTarget(addresses[self._poll_number % len(addresses)], domain)
             for domain, addresses in by_domain.items()
             if addresses and domain != self._identity.failure_domain
         ]
 
 
-def _target(member: MemberView) -> PollTarget:
+def _target_for(member: MemberView) -> PollTarget:
     return PollTarget(member.address, member.failure_domain)
--- a/damaskbay/daemon/config_relay.py
+++ b/damaskbay/daemon/config_relay.py
@@ -1,4 +1,4 @@
-"""The task that watches the platform's head while this daemon is a relay."""
+"""Task that watches the platform's head record while this daemon is a relay."""
 
 import logging
 from collections.abc import Callable
@@ -12,9 +12,9 @@
 from damaskbay.core.dissemination.order import LEADER_PURPOSE, FleetOrder
 from damaskbay.daemon.config_messages import (
     Head,
-    Loaded,
-    Proven,
-    SetInvalid,
+    HeadUnchanged,
+    InvalidSet,
+    SetLoaded,
     SetSource,
     SourceUnavailable,
     UnusableHead,
@@ -28,15 +28,16 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-KEY_PREFIX = "damaskbay/relays"
+RELAY_KEY_PREFIX = "damaskbay/relays"
 
 
 class ConfigRelay(Task):
     """
-    Posts what it reads with `post_up`; does nothing where others are relays.
+    Task that reads sets as a relay and posts them with `post_to_service`.
 
-    Every read is thrown away whose lease ended before the answer was there, so a
-    relay that was paused tells nothing from before its pause.
+    It is idle while other daemons are the relays. A result is discarded if the lease
+    ended before the platform replied, so that a relay does not post data from
+    before a pause of its process.
     """
 
     def __init__(
@@ -47,37 +48,39 @@
         source: SetSource,
         membership: Membership,
         options: DisseminationOptions,
-        post_up: Callable[[Any], bool],
+        post_to_service: Callable[[Any], bool],
         clock: Callable[[], float] = monotonic_s,
     ) -> None:
         super().__init__("config-relay", clock=clock)
         self._options = options
         self._source = source
         self._membership = membership
-        self._post_up = post_up
+        self._post_to_service = post_to_service
         self._order = FleetOrder(identity.instance, LEADER_PURPOSE, options.relays)
         self._lease = PlatformLease(
             platform,
             keys=tuple(
-                f"{KEY_PREFIX}/{identity.failure_domain}/{slot}"
+                f"{RELAY_KEY_PREFIX}/{identity.failure_domain}/{slot}"
                 for slot in range(options.relays)
             ),
             holder=f"{identity.instance}/{identity.incarnation}",
-            held=HeldLease(lease_s=options.lease_s, margin_s=options.lease_margin_s),
+            held_lease=HeldLease(
+                lease_s=options.lease_s, margin_s=options.lease_margin_s
+            ),
             lease_s=options.lease_s,
             timeout_s=options.lease_timeout_s,
             clock=clock,
         )
         self._head: Head | None = None
         self._loaded_version = 0
-        self._newest_known = True
+        self._loaded_is_newest = True
         self._document: Document | None = None
-        self._next_renewal = 0.0
-        self._next_try = 0.0
+        self._next_renewal_at = 0.0
+        self._retry_not_before = 0.0
 
     @property
     def holds_lease(self) -> bool:
-        """Tell whether this daemon relays now."""
+        """Return whether this daemon is a relay now."""
         return self._lease.holds()
 
     def __exit__(
@@ -90,17 +93,17 @@
         self._lease.release()
 
     def handle(self, message: Any, now: float) -> None:
-        """Take no messages."""
+        """Ignore messages; this task receives none."""
 
     def tick(self, now: float) -> None:
-        """Keep the lease and watch once."""
+        """Renew the lease when due and watch the head once."""
         self._order.update(self._membership.members())
         if not self._order.leads:
             self._resign()
             return
-        if now < self._next_try:
+        if now < self._retry_not_before:
             return
-        if now >= self._next_renewal or not self._lease.holds():
+        if now >= self._next_renewal_at or not self._lease.holds():
             self._renew(now)
         if self._lease.holds():
             self._watch()
@@ -110,71 +113,76 @@
         self._head = None
         self._document = None
         self._loaded_version = 0
-        self._newest_known = True
+        self._loaded_is_newest = True
 
     def _renew(self, now: float) -> None:
         if self._lease.renew():
-            self._next_renewal = now + self._options.lease_renew_s
+            self._next_renewal_at = now + self._options.lease_renew_s
         else:
-            self._pause()
+            self._delay_retry()
 
     def _watch(self) -> None:
-        asked_at = self.clock()
+        requested_at = self.clock()
         revision = 0 if self._head is None else self._head.revision
         timeout_s = self._options.watch_s
-        seen = self._source.watch(after_revision=revision, timeout_s=timeout_s)
+        observed = self._source.watch(after_revision=revision, timeout_s=timeout_s)
         if not self._lease.holds():
             return
-        match seen:
+        match observed:
             case None:
-                waited = self.clock() - asked_at >= timeout_s
-                self._prove(asked_at + timeout_s if waited else asked_at)
+                timed_out = self.clock() - requested_at >= timeout_s
+                self._post_proof(
+                    requested_at + timeout_s if timed_out else requested_at
+                )
             case Head():
-                self._take(seen, asked_at)
+                self._load_head(observed, requested_at)
             case SourceUnavailable():
-                self._pause()
+                self._delay_retry()
 
-    def _take(self, head: Head, asked_at: float) -> None:
-        """Load the set of a newer head."""
+    def _load_head(self, head: Head, requested_at: float) -> None:
+        """Load the set of a newer head; skip a head that is invalid or not newer."""
         if head.problem or head.version <= self._loaded_version:
-            self._skip(head, head.problem or f"back to version {head.version}")
+            self._skip_head(
+                head,
+                head.problem or f"version {head.version} is not above the loaded one",
+            )
             return
-        loaded = self._source.load(
+        result = self._source.load(
             head, self._document, timeout_s=self._options.load_timeout_s
         )
         if not self._lease.holds():
             return
-        match loaded:
+        match result:
             case Document():
-                self._load(head, loaded, asked_at)
+                self._accept(head, result, requested_at)
             case SourceUnavailable():
-                self._pause()
-            case SetInvalid():
-                self._skip(head, f"version {head.version}: {loaded.detail}")
+                self._delay_retry()
+            case InvalidSet():
+                self._skip_head(head, f"version {head.version}: {result.detail}")
 
-    def _load(self, head: Head, document: Document, asked_at: float) -> None:
+    def _accept(self, head: Head, document: Document, requested_at: float) -> None:
         self._head = head
         self._loaded_version = head.version
         self._document = document
-        self._newest_known = True
-        proof = Proof(head.version, asked_at)
-        self._post_up(Loaded(head.version, document, proof))
+        self._loaded_is_newest = True
+        proof = Proof(head.version, requested_at)
+        self._post_to_service(SetLoaded(head.version, document, proof))
 
-    def _skip(self, head: Head, problem: str) -> None:
+    def _skip_head(self, head: Head, problem: str) -> None:
         """
-        Leave a head that no set follows from.
+        Skip a head from which no set can be loaded.
 
-        The set at hand is still the newest accepted one only if that head came
-        right after it.
+        The loaded set is known to be the newest accepted one only if the version of
+        that head is the next one.
         """
         self._head = head
-        self._newest_known = head.version == self._loaded_version + 1
+        self._loaded_is_newest = head.version == self._loaded_version + 1
         _LOGGER.error("config: head unusable: %s.", problem)
-        self._post_up(UnusableHead(problem))
+        self._post_to_service(UnusableHead(problem))
 
-    def _prove(self, at: float) -> None:
-        if self._newest_known:
-            self._post_up(Proven(Proof(self._loaded_version, at)))
+    def _post_proof(self, at: float) -> None:
+        if self._loaded_is_newest:
+            self._post_to_service(HeadUnchanged(Proof(self._loaded_version, at)))
 
-    def _pause(self) -> None:
-        self._next_try = self.clock() + self._options.retry_s
+    def _delay_retry(self) -> None:
+        self._retry_not_before = self.clock() + self._options.retry_s
--- a/damaskbay/daemon/membership.py
+++ b/damaskbay/daemon/membership.py
@@ -1,4 +1,4 @@
-"""The task that keeps the membership of this daemon's failure domain."""
+"""Task that maintains the membership of this daemon's failure domain."""
 
 import logging
 from collections.abc import Iterable, Mapping, Sequence
@@ -27,16 +27,16 @@
 from damaskbay.core.membership.sync import AskServers, Digests, Entries, Servers
 from damaskbay.core.membership.views import Views
 from damaskbay.core.membership.wire import pack_entries, unpack_entries
-from damaskbay.daemon.membership_contacts import ContactKeeper
+from damaskbay.daemon.membership_contacts import ContactMaintainer
 from damaskbay.daemon.membership_exchange import DomainExchange
 from damaskbay.daemon.membership_messages import (
     Announcement,
     CallFailed,
     ContactsRead,
-    PeerAsked,
-    ServersAnswered,
-    ServersTold,
-    SyncAnswered,
+    PeerRequest,
+    ServersReply,
+    ServersUpdate,
+    SyncReply,
 )
 from damaskbay.helpers.task import Task
 from damaskbay.ports.fleet import MemberView, ServerState, ServerView
@@ -50,12 +50,12 @@
 
 class MembershipService(Task):
     """
-    Implements ports.fleet.Membership; a context manager.
+    Task that implements ports.fleet.Membership; a context manager.
 
-    `gossip` is the address for datagrams (port 0: any free one), `secrets` the
-    peers' shared ones, of which the first proves this daemon, `seeds` the gossip
-    addresses of members to join by. Leaving the context tells the others that this
-    daemon goes.
+    `gossip` is the address for datagrams (port 0: any free port). `secrets` are
+    shared with the peers; the first one authenticates this daemon. `seeds` are the
+    gossip addresses of members through which to join. Leaving the context announces
+    to the members that this daemon leaves.
     """
 
     def __init__(
@@ -89,56 +89,56 @@
         self._swim = Swim(own, options, rng, self.clock())
         self._seeds = tuple(seeds)
         self._swim.set_seeds(self._seeds)
-        self._book = ContactBook()
+        self._contact_book = ContactBook()
         self._views = Views()
-        self._was_displaced = False
+        self._displacement_logged = False
         self._exchange = DomainExchange(
             own,
             own_servers=lambda pool: self._views.entries(pool, self._swim),
             link=link,
-            book=self._book,
+            book=self._contact_book,
             options=options,
             rng=rng,
             post=self.post,
         )
-        self._contacts: ContactKeeper | None = None
+        self._contact_maintainer: ContactMaintainer | None = None
         if platform is not None:
-            self._contacts = ContactKeeper(
+            self._contact_maintainer = ContactMaintainer(
                 own,
                 platform=platform,
                 members=self.members,
-                post_up=self.post,
+                post_to_service=self.post,
                 options=options,
                 rng=Random(seed),
             )
-        self._show()
+        self._refresh_views()
         for message_type in (Digests, AskServers):
-            link.register(message_type, self._post_question)
+            link.register(message_type, self._post_peer_request)
         link.register(Entries, lambda _peer, entries, _: self._post(entries))
         link.register(
-            Servers, lambda _peer, servers, _: self._post(ServersTold(servers))
+            Servers, lambda _peer, servers, _: self._post(ServersUpdate(servers))
         )
 
     @property
     def gossip(self) -> PeerAddress:
-        """Return the address that others may use as a seed."""
+        """Return the gossip address, which other daemons may use as a seed."""
         return self._swim.own.gossip
 
     @property
     def displaced(self) -> bool:
-        """Tell whether a newer process has taken this instance's name."""
+        """Return whether a newer process runs under this instance's name."""
         return self._swim.displaced
 
     @property
     def gossip_bytes(self) -> int:
-        """Return the bytes of all datagrams sent and received."""
+        """Return the number of bytes of all datagrams sent and received."""
         return self._socket.sent_bytes + self._socket.received_bytes
 
     def __enter__(self) -> Self:
         self._socket.__enter__()
         super().__enter__()
-        if self._contacts is not None:
-            self._contacts.__enter__()
+        if self._contact_maintainer is not None:
+            self._contact_maintainer.__enter__()
         return self
 
     def __exit__(
@@ -147,42 +147,42 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        if self._contacts is not None:
-            self._contacts.__exit__(exc_type, exc, traceback)
+        if self._contact_maintainer is not None:
+            self._contact_maintainer.__exit__(exc_type, exc, traceback)
         super().__exit__(exc_type, exc, traceback)
         self._send(self._swim.leave(self.clock()))
         self._socket.__exit__(exc_type, exc, traceback)
 
     def servers(self, pool: str) -> tuple[ServerView, ...]:
         """
-        Return the servers of a pool that may get new work.
+        Return the servers of a pool that may receive new calls.
 
-        Those of the own failure domain come first, then a few of each other one.
+        Servers of the local failure domain come first, then a few of each remote one.
         """
-        own = self._views.servers_by_pool.get(pool, ())
-        return own + self._exchange.servers(pool)
+        local = self._views.servers_by_pool.get(pool, ())
+        return local + self._exchange.servers(pool)
 
     def by_instance(self, instance: str) -> ServerView | None:
-        """Return one server, whatever its state, or None where it is unknown."""
-        own = self._views.by_instance.get(instance)
-        return own or self._exchange.by_instance(instance)
+        """Return a server in any state, or None if it is unknown."""
+        local = self._views.by_instance.get(instance)
+        return local or self._exchange.by_instance(instance)
 
     def members(self) -> tuple[MemberView, ...]:
-        """Return the live daemons of the own failure domain, this one included."""
+        """Return the live daemons of the local failure domain, including this one."""
         return self._views.members
 
     def contacts_by_domain(self) -> Mapping[str, tuple[PeerAddress, ...]]:
         """Return a few daemons of each failure domain; empty while unknown."""
-        return self._book.addresses_by_domain
+        return self._contact_book.addresses_by_domain
 
     def announce(
         self, *, pool: str, state: ServerState, slots: int, load: float
     ) -> None:
-        """Take what the local backend server says of itself."""
+        """Announce the state of the local backend server. Thread-safe."""
         self.post(Announcement(pool, state, slots, load))
 
     def suspect(self, instance: str, incarnation: int) -> None:
-        """Take note that a call to this daemon failed on the way."""
+        """Report that a call to a daemon failed in transit. Thread-safe."""
         self.post(CallFailed(instance, incarnation))
 
     def handle(self, message: Any, now: float) -> None:
@@ -193,28 +193,28 @@
             case Announcement():
                 self._announce(message, now)
             case CallFailed():
-                self._avoid(message, now)
-            case PeerAsked():
-                self._answer(message, now)
-            case SyncAnswered():
-                self._take_answer(message, now)
+                self._handle_call_failure(message, now)
+            case PeerRequest():
+                self._handle_peer_request(message, now)
+            case SyncReply():
+                self._handle_sync_reply(message, now)
             case Entries():
                 self._merge(message, now)
-            case ServersAnswered():
-                self._exchange.take_answer(message, now)
-            case ServersTold():
-                self._exchange.take(message.servers, now)
+            case ServersReply():
+                self._exchange.handle_reply(message, now)
+            case ServersUpdate():
+                self._exchange.apply(message.servers, now)
             case ContactsRead():
-                self._take_contacts(message)
-        self._show()
+                self._handle_contacts(message)
+        self._refresh_views()
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Send due probes, gossip, table comparisons and domain exchange messages."""
         self._send(self._swim.tick(now))
         target = self._swim.sync_target(now)
         if target is not None:
-            self._sync(target)
-        self._show()
+            self._request_sync(target)
+        self._refresh_views()
         self._exchange.tick(self._views.members, now)
 
     def _announce(self, message: Announcement, now: float) -> None:
@@ -227,14 +227,14 @@
         )
         self._send(outgoing)
 
-    def _avoid(self, failed: CallFailed, now: float) -> None:
+    def _handle_call_failure(self, failed: CallFailed, now: float) -> None:
         if self._views.by_instance.get(failed.instance) is None:
             self._exchange.avoid(failed.instance, now)
             return
         self._send(self._swim.suspect(failed.instance, failed.incarnation, now))
 
-    def _take_contacts(self, message: ContactsRead) -> None:
-        self._book.take(message.contacts)
+    def _handle_contacts(self, message: ContactsRead) -> None:
+        self._contact_book.take(message.contacts)
         own = (
             item.gossip
             for item in message.seeds
@@ -242,70 +242,78 @@
         )
         self._swim.set_seeds((*self._seeds, *own))
 
-    def _sync(self, target: MemberEntry) -> None:
+    def _request_sync(self, target: MemberEntry) -> None:
         digests = Digests(
             self.identity.failure_domain,
             self._swim.table.digests(),
-            self._book.digest(),
+            self._contact_book.digest(),
         )
         future = self._link.request(target.address, digests, timeout_s=_SYNC_TIMEOUT_S)
-        future.add_done_callback(lambda done: self._post_answer(target, done))
+        future.add_done_callback(lambda done: self._post_sync_reply(target, done))
 
-    def _post_answer(self, target: MemberEntry, future: Future[Any]) -> None:
+    def _post_sync_reply(self, target: MemberEntry, future: Future[Any]) -> None:
         if not future.cancelled():
-            self.post(SyncAnswered(target.address, future.result()))
+            self.post(SyncReply(target.address, future.result()))
 
-    def _answer(self, asked: PeerAsked, now: float) -> None:
-        match asked.message:
+    def _handle_peer_request(self, received: PeerRequest, now: float) -> None:
+        match received.message:
             case Digests():
-                self._answer_sync(asked.message, asked.responder)
+                self._reply_to_sync(received.message, received.responder)
             case AskServers():
-                self._exchange.answer(asked.message, asked.responder, now)
+                self._exchange.reply(received.message, received.responder, now)
 
-    def _answer_sync(self, asked: Digests, responder: Responder) -> None:
-        if asked.failure_domain != self.identity.failure_domain:
+    def _reply_to_sync(self, request: Digests, responder: Responder) -> None:
+        if request.failure_domain != self.identity.failure_domain:
             return
-        own = self._swim.table.digests()
-        pairs = enumerate(zip(own, asked.digests, strict=False))
-        buckets = tuple(index for index, (ours, theirs) in pairs if ours != theirs)
-        same_contacts = asked.contacts_digest == self._book.digest()
+        own_digests = self._swim.table.digests()
+        pairs = enumerate(zip(own_digests, request.digests, strict=False))
+        buckets = tuple(
+            index
+            for index, (own_digest, peer_digest) in pairs
+            if own_digest != peer_digest
+        )
+        same_contacts = request.contacts_digest == self._contact_book.digest()
         responder.answer(self._entries(buckets, contacts=not same_contacts))
 
-    def _take_answer(self, message: SyncAnswered, now: float) -> None:
-        answer = message.answer
-        if not isinstance(answer, Entries):
+    def _handle_sync_reply(self, message: SyncReply, now: float) -> None:
+        reply = message.reply
+        if not isinstance(reply, Entries):
             self._swim.sync_failed(now)
             return
-        differs = bool(answer.contacts)
-        if answer.buckets or differs:
-            back = self._entries(answer.buckets, contacts=differs)
-            self._link.send(message.address, back)
-            self._merge(answer, now)
+        contacts_differ = bool(reply.contacts)
+        if reply.buckets or contacts_differ:
+            own_entries = self._entries(reply.buckets, contacts=contacts_differ)
+            self._link.send(message.address, own_entries)
+            self._merge(reply, now)
 
     def _entries(self, buckets: tuple[int, ...], *, contacts: bool) -> Entries:
         entries = pack_entries(self._swim.table.in_buckets(buckets))
         return Entries(
-            buckets, entries, pack_contacts(self._book.all()) if contacts else b""
+            buckets,
+            entries,
+            pack_contacts(self._contact_book.all()) if contacts else b"",
         )
 
     def _merge(self, message: Entries, now: float) -> None:
         entries = unpack_entries(message.entries)
         if entries is None:
-            _LOGGER.warning("membership: malformed entries dropped.")
+            _LOGGER.warning("membership: malformed entries ignored.")
             return
         self._swim.merge(entries, now)
         if message.contacts:
-            self._book.take(unpack_contacts(message.contacts) or ())
+            self._contact_book.take(unpack_contacts(message.contacts) or ())
 
     def _send(self, outgoing: Iterable[Outgoing]) -> None:
         for item in outgoing:
             self._socket.send(item)
 
-    def _show(self) -> None:
-        self._exchange.touch(self._views.refresh(self._swim))
-        if self._swim.displaced and not self._was_displaced:
-            self._was_displaced = True
-            _LOGGER.error("membership: a newer process has taken this instance.")
+    def _refresh_views(self) -> None:
+        self._exchange.mark_changed(self._views.refresh(self._swim))
+        if self._swim.displaced and not self._displacement_logged:
+            self._displacement_logged = True
+            _LOGGER.error(
+                "membership: a newer process runs under this instance's name."
+            )
 
     def _post_packet(self, packet: Packet) -> None:
         self.post(packet)
@@ -313,7 +321,7 @@
     def _post(self, message: Any) -> None:
         self.post(message)
 
-    def _post_question(
+    def _post_peer_request(
         self, _peer: PeerIdentity, message: Any, responder: Responder
     ) -> None:
-        self.post(PeerAsked(message, responder))
+        self.post(PeerRequest(message, responder))
--- a/damaskbay/daemon/membership_contacts.py
+++ b/damaskbay/daemon/membership_contacts.py
@@ -1,4 +1,4 @@
-"""The task that keeps the own failure domain's contacts in the platform."""
+"""Task that maintains the local failure domain's contacts in the platform."""
 
 import logging
 from collections.abc import Callable
@@ -22,16 +22,16 @@
 _LOGGER = logging.getLogger(__name__)
 
 _TICK_S = 0.5
-_TIMEOUT_S = 2.0
+_PLATFORM_TIMEOUT_S = 2.0
 
 
-class ContactKeeper(Task):
+class ContactMaintainer(Task):
     """
-    Reads all contacts and writes the own one, while this daemon is a delegate.
+    Task that reads all contacts and writes its own while the daemon is a delegate.
 
-    A daemon that knows nobody reads them too, so that it can join. Contacts are
-    hints: nothing breaks where one is old. Their lease is long and lets those of a
-    failure domain go that is no more.
+    A daemon without known members is its own delegate, so it reads contacts and can
+    join. Contacts are hints: an outdated one does no harm. Their lease is long; it
+    removes the contacts of a failure domain that no longer exists.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         *,
         platform: Platform,
         members: Callable[[], tuple[MemberView, ...]],
-        post_up: Callable[[Any], bool],
+        post_to_service: Callable[[Any], bool],
         options: MembershipOptions,
         rng: Random,
     ) -> None:
@@ -48,58 +48,59 @@
         self._own = own
         self._platform = platform
         self._members = members
-        self._post_up = post_up
+        self._post_to_service = post_to_service
         self._options = options
         self._rng = rng
         self._order = FleetOrder(own.instance, LEADER_PURPOSE, options.delegates)
-        self._next_read = 0.0
-        self._next_renewal = 0.0
-        self._was_leading = False
+        self._next_read_at = 0.0
+        self._next_renewal_at = 0.0
+        self._was_delegate = False
 
     def handle(self, message: Any, now: float) -> None:
-        """Take no messages."""
+        """Ignore messages; this task receives none."""
 
     def tick(self, now: float) -> None:
-        """Read and write when that is due."""
+        """Read the contacts and renew its own when due."""
         self._order.update(self._members())
-        began_to_lead = self._order.leads and not self._was_leading
-        self._was_leading = self._order.leads
-        if not self._order.leads or (now < self._next_read and not began_to_lead):
+        became_delegate = self._order.leads and not self._was_delegate
+        self._was_delegate = self._order.leads
+        if not self._order.leads or (now < self._next_read_at and not became_delegate):
             return
         jitter = self._rng.uniform(0.9, 1.1)
-        self._next_read = now + self._options.contact_period_s * jitter
-        before = self._read()
-        contacts = before
-        if before is not None and self._refresh_own(before, now):
+        self._next_read_at = now + self._options.contact_period_s * jitter
+        contacts_before = self._read()
+        contacts = contacts_before
+        if contacts_before is not None and self._update_own(contacts_before, now):
             contacts = self._read()
-        if before is None or contacts is None:
-            self._next_read = now + 2 * _TICK_S
+        if contacts_before is None or contacts is None:
+            self._next_read_at = now + 2 * _TICK_S
             return
-        self._post_up(ContactsRead(contacts, seeds=before))
+        self._post_to_service(ContactsRead(contacts, seeds=contacts_before))
 
     def _read(self) -> tuple[Contact, ...] | None:
-        found = self._platform.list(CONTACT_PREFIX, timeout_s=_TIMEOUT_S)
-        if isinstance(found, PlatformFailure):
+        entries = self._platform.list(CONTACT_PREFIX, timeout_s=_PLATFORM_TIMEOUT_S)
+        if isinstance(entries, PlatformFailure):
             return None
-        contacts = (_contact_of(entry) for entry in found)
+        contacts = (_decode_contact(entry) for entry in entries)
         return tuple(contact for contact in contacts if contact is not None)
 
-    def _refresh_own(self, contacts: tuple[Contact, ...], now: float) -> bool:
+    def _update_own(self, contacts: tuple[Contact, ...], now: float) -> bool:
         """
-        Put the own contact in its slot where that is due; tell whether it was.
+        Write the own contact if due; return whether a write was attempted.
 
-        A reading counts only as it was read: one with the own entry put in could
-        lack what others wrote in between, and yet look newer.
+        The caller reads again after a write. If it added the written contact to the
+        earlier result, contacts that others wrote in between would be missing from a
+        result that looks newer.
         """
         domain = self._own.failure_domain
         leaders = [member.instance for member in self._order.leaders]
         slot = leaders.index(self._own.instance)
         own = Contact(domain, slot, 0, self._own.address, self._own.gossip)
         current = [item for item in contacts if item.place == own.place]
-        if current and _same(current[0], own) and now < self._next_renewal:
+        if current and _same_addresses(current[0], own) and now < self._next_renewal_at:
             return False
         if self._write(own, current[0].revision if current else 0):
-            self._next_renewal = now + self._options.contact_renew_s
+            self._next_renewal_at = now + self._options.contact_renew_s
         return True
 
     def _write(self, own: Contact, revision: int) -> bool:
@@ -108,15 +109,15 @@
             pack_contacts([own]),
             expected_revision=revision,
             lease_s=self._options.contact_lease_s,
-            timeout_s=_TIMEOUT_S,
+            timeout_s=_PLATFORM_TIMEOUT_S,
         )
         return isinstance(result, Entry)
 
 
-def _contact_of(entry: Entry) -> Contact | None:
+def _decode_contact(entry: Entry) -> Contact | None:
     contacts = unpack_contacts(entry.value)
     if not contacts:
-        _LOGGER.warning("membership: malformed contact %s left out.", entry.key)
+        _LOGGER.warning("membership: malformed contact %s ignored.", entry.key)
         return None
     [first, *_] = contacts
     return Contact(
@@ -124,5 +125,5 @@
     )
 
 
-def _same(one: Contact, other: Contact) -> bool:
+def _same_addresses(one: Contact, other: Contact) -> bool:
     return (one.address, one.gossip) == (other.address, other.gossip)
--- a/damaskbay/daemon/membership_exchange.py
+++ b/damaskbay/daemon/membership_exchange.py
@@ -1,4 +1,4 @@
-"""Carries the exchange with other failure domains over peer streams."""
+"""Exchange of server states with remote failure domains over peer streams."""
 
 from collections.abc import Callable, Iterable
 from concurrent.futures import Future
@@ -12,15 +12,20 @@
 from damaskbay.core.membership.options import MembershipOptions
 from damaskbay.core.membership.sync import AskServers, Servers
 from damaskbay.core.membership.views import RemoteViews
-from damaskbay.daemon.membership_messages import ServersAnswered
+from damaskbay.daemon.membership_messages import ServersReply
 from damaskbay.ports.fleet import MemberView, ServerView
 from damaskbay.ports.peer import PeerLink, Responder
 
-_ASK_TIMEOUT_S = 2.0
+_REQUEST_TIMEOUT_S = 2.0
 
 
 class DomainExchange:
-    """Belongs to the membership task, but for `servers` and `by_instance`."""
+    """
+    Sender and receiver of the exchange with remote failure domains.
+
+    Only `servers` and `by_instance` are thread-safe; the membership task calls the
+    other methods.
+    """
 
     def __init__(
         self,
@@ -39,62 +44,62 @@
         self._order = FleetOrder(own.instance, LEADER_PURPOSE, options.delegates)
         self._exchange = Exchange(own, own_servers, self._order, book, options, rng)
         self._views = RemoteViews()
-        self._asked_pools: set[str] = set()
+        self._requested_pools: set[str] = set()
 
     def servers(self, pool: str) -> tuple[ServerView, ...]:
-        """Return the known servers of other domains; note that they are wanted."""
-        self._asked_pools.add(pool)
+        """Return the known remote servers of a pool, and record that it is wanted."""
+        self._requested_pools.add(pool)
         return self._views.servers_by_pool.get(pool, ())
 
     def by_instance(self, instance: str) -> ServerView | None:
-        """Return one server of another domain."""
+        """Return a server of a remote domain, or None if it is unknown."""
         return self._views.by_instance.get(instance)
 
-    def touch(self, pools: Iterable[str]) -> None:
-        """Take note that own servers of some pools changed."""
+    def mark_changed(self, pools: Iterable[str]) -> None:
+        """Record that local servers of these pools have changed."""
         self._exchange.own_revisions.touch(pools)
 
     def avoid(self, instance: str, now: float) -> None:
-        """Leave a server out for a time."""
+        """Exclude a server for `avoid_s` after a failed call."""
         until = now + self._options.avoid_s
         self._refresh(self._views.avoid(instance, until), now)
 
     def tick(self, members: tuple[MemberView, ...], now: float) -> None:
-        """Ask and tell what is due."""
+        """Send due requests and updates, and drop servers of unresponsive domains."""
         self._order.update(members)
-        wanted, self._asked_pools = self._asked_pools, set()
+        wanted, self._requested_pools = self._requested_pools, set()
         self._exchange.want(wanted, now)
-        for question in self._exchange.questions(now):
-            self._ask(question)
-        for telling in self._exchange.tellings(now):
-            self._link.send(telling.address, telling.servers)
+        for request in self._exchange.questions(now):
+            self._send_request(request)
+        for update in self._exchange.tellings(now):
+            self._link.send(update.address, update.servers)
         self._refresh(self._exchange.drop_silent(now), now)
         self._refresh(self._views.due(now), now)
 
-    def answer(self, ask: AskServers, responder: Responder, now: float) -> None:
-        """Answer another daemon."""
-        responder.answer(self._exchange.answer(ask, now))
+    def reply(self, request: AskServers, responder: Responder, now: float) -> None:
+        """Reply to a peer's request for servers."""
+        responder.answer(self._exchange.answer(request, now))
 
-    def take_answer(self, message: ServersAnswered, now: float) -> None:
-        """Take what came back for a question."""
-        if isinstance(message.answer, Servers):
-            self.take(message.answer, now, answered=True)
+    def handle_reply(self, message: ServersReply, now: float) -> None:
+        """Apply the reply to a request, or record its failure."""
+        if isinstance(message.reply, Servers):
+            self.apply(message.reply, now, answered=True)
         else:
             self._exchange.lost(message.domain, now)
 
-    def take(self, servers: Servers, now: float, *, answered: bool = False) -> None:
-        """Take news of servers."""
+    def apply(self, servers: Servers, now: float, *, answered: bool = False) -> None:
+        """Apply server states that a peer sent."""
         self._refresh(self._exchange.take(servers, now, answered=answered), now)
 
     def _refresh(self, pools: Iterable[str], now: float) -> None:
         self._views.refresh(pools, self._exchange.remote, now)
 
-    def _ask(self, question: Question) -> None:
+    def _send_request(self, request: Question) -> None:
         future = self._link.request(
-            question.address, question.ask, timeout_s=_ASK_TIMEOUT_S
+            request.address, request.ask, timeout_s=_REQUEST_TIMEOUT_S
         )
-        future.add_done_callback(lambda done: self._answered(question, done))
+        future.add_done_callback(lambda done: self._post_reply(request, done))
 
-    def _answered(self, question: Question, future: Future[Any]) -> None:
+    def _post_reply(self, request: Question, future: Future[Any]) -> None:
         if not future.cancelled():
-            self._post(ServersAnswered(question.domain, future.result()))
+            self._post(ServersReply(request.domain, future.result()))
--- a/damaskbay/daemon/membership_messages.py
+++ b/damaskbay/daemon/membership_messages.py
@@ -1,4 +1,4 @@
-"""What the parts of the membership tell each other."""
+"""Messages between the parts of the membership service."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """The local backend server said this of itself."""
+    """State that the local backend server announced."""
 
     pool: str
     state: ServerState
@@ -21,46 +21,46 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFailed:
-    """A call to a daemon failed on the way."""
+    """Report that a call to another daemon failed in transit."""
 
     instance: str
     incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
-class PeerAsked:
-    """A message of another daemon that wants an answer."""
+class PeerRequest:
+    """Request from a peer."""
 
     message: Digests | AskServers
     responder: Responder
 
 
 @dataclass(frozen=True, slots=True)
-class SyncAnswered:
-    """What came back for digests."""
+class SyncReply:
+    """Reply to a Digests request, or a PeerFailure."""
 
     address: PeerAddress
-    answer: Any
+    reply: Any
 
 
 @dataclass(frozen=True, slots=True)
-class ServersAnswered:
-    """What came back for a question about servers."""
+class ServersReply:
+    """Reply to an AskServers request, or a PeerFailure."""
 
     domain: str
-    answer: Any
+    reply: Any
 
 
 @dataclass(frozen=True, slots=True)
-class ServersTold:
-    """News of servers that nobody asked for just now."""
+class ServersUpdate:
+    """Update about servers that a peer sent without a request."""
 
     servers: Servers
 
 
 @dataclass(frozen=True, slots=True)
 class ContactsRead:
-    """The contacts that stand in the platform; `seeds` are those before a write."""
+    """Contacts read from the platform; `seeds` are those read before a write."""
 
     contacts: tuple[Contact, ...]
     seeds: tuple[Contact, ...]
--- a/damaskbay/daemon/platform_lease.py
+++ b/damaskbay/daemon/platform_lease.py
@@ -1,4 +1,4 @@
-"""One of a few keys in the platform, held by a lease."""
+"""A lease on one of a few keys in the platform."""
 
 import itertools
 from collections.abc import Callable
@@ -9,10 +9,10 @@
 
 class PlatformLease:
     """
-    Tries to hold one of `keys`; belongs to one thread but for `holds`.
+    Lease on the first free key of `keys`. Only `holds` is thread-safe.
 
-    Every write carries a value of its own, so that a write whose answer was lost
-    is known again by reading.
+    Every write has a unique value, so that a write whose reply was lost can be
+    recognised by reading the key.
     """
 
     def __init__(
@@ -21,7 +21,7 @@
         *,
         keys: tuple[str, ...],
         holder: str,
-        held: HeldLease,
+        held_lease: HeldLease,
         lease_s: float,
         timeout_s: float,
         clock: Callable[[], float],
@@ -29,34 +29,34 @@
         self._platform = platform
         self._keys = keys
         self._holder = holder
-        self._held = held
+        self._held_lease = held_lease
         self._lease_s = lease_s
         self._timeout_s = timeout_s
         self._clock = clock
-        self._writes = itertools.count(1)
+        self._write_numbers = itertools.count(1)
         self._entry: Entry | None = None
 
     def holds(self) -> bool:
-        """Tell whether the lease is held now, by the own clock."""
-        return self._held.holds(self._clock())
+        """Return whether the lease is held now, by the local clock."""
+        return self._held_lease.holds(self._clock())
 
     def renew(self) -> bool:
-        """Hold on to the key, or take a free one; True where that was granted."""
+        """Renew the key, or acquire a free one; return whether a lease was granted."""
         entry = self._entry
         if entry is not None and self._write(entry.key, entry.revision):
             return True
-        return any(self._take(key) for key in self._keys)
+        return any(self._acquire(key) for key in self._keys)
 
     def release(self) -> None:
-        """Give the key back, best effort."""
+        """Drop the lease and delete its key; ignore a failure of the platform."""
         entry, self._entry = self._entry, None
-        self._held.drop()
+        self._held_lease.drop()
         if entry is not None:
             self._platform.delete(
                 entry.key, expected_revision=entry.revision, timeout_s=self._timeout_s
             )
 
-    def _take(self, key: str) -> bool:
+    def _acquire(self, key: str) -> bool:
         found = self._platform.get(key, timeout_s=self._timeout_s)
         if isinstance(found, PlatformFailure):
             return False
@@ -67,8 +67,8 @@
         return False
 
     def _write(self, key: str, revision: int) -> bool:
-        asked_at = self._clock()
-        value = f"{self._holder}/{next(self._writes)}".encode()
+        requested_at = self._clock()
+        value = f"{self._holder}/{next(self._write_numbers)}".encode()
         result: Entry | Conflict | PlatformFailure | None
         result = self._platform.compare_and_swap(
             key,
@@ -81,7 +81,7 @@
             result = self._platform.get(key, timeout_s=self._timeout_s)
         if isinstance(result, Entry) and result.value == value:
             self._entry = result
-            self._held.granted(asked_at)
+            self._held_lease.granted(requested_at)
             return True
         if isinstance(result, Conflict | None):
             self._entry = None
--- a/tests/daemon/config_common.py
+++ b/tests/daemon/config_common.py
@@ -1,4 +1,4 @@
-"""Configuration services of a few failure domains in one process."""
+"""Configuration services of several failure domains in one process."""
 
 from collections.abc import Iterator, Mapping
 from contextlib import ExitStack, contextmanager
@@ -35,7 +35,7 @@
 
 
 class Operator:
-    """Publishes small sets in the platform."""
+    """Publisher of small configuration sets in the platform."""
 
     def __init__(self, platform: MemoryPlatform) -> None:
         self._platform = platform
@@ -52,7 +52,7 @@
         return self.version
 
     def write_broken_head(self, *, version: int) -> None:
-        """Put a head there whose parts are missing."""
+        """Write a head whose parts are missing."""
         entry = self._platform.get(HEAD_KEY, timeout_s=1)
         assert isinstance(entry, Entry)
         record = read_record(entry)
@@ -62,7 +62,7 @@
         self.write_head(broken.to_bytes())
 
     def write_head(self, value: bytes) -> None:
-        """Put any bytes where the head is."""
+        """Overwrite the head with any bytes."""
         entry = self._platform.get(HEAD_KEY, timeout_s=1)
         assert isinstance(entry, Entry)
         self._platform.compare_and_swap(
@@ -71,19 +71,19 @@
 
 
 @dataclass
-class FixedMembers:
-    """Implements what the configuration service asks of the membership."""
+class StaticMembership:
+    """Membership and contacts with a fixed list of daemons."""
 
     own_domain: str
     by_domain: dict[str, tuple[MemberView, ...]]
     knows_contacts: bool = True
 
     def members(self) -> tuple[MemberView, ...]:
-        """Return the daemons of the own failure domain."""
+        """Return the daemons of the local failure domain."""
         return self.by_domain[self.own_domain]
 
     def contacts_by_domain(self) -> Mapping[str, tuple[PeerAddress, ...]]:
-        """Return two daemons of each failure domain."""
+        """Return two daemons of each failure domain; none if contacts are unknown."""
         by_domain = self.by_domain if self.knows_contacts else {}
         return {
             domain: tuple(item.address for item in members[:2])
@@ -101,14 +101,14 @@
     def announce(
         self, *, pool: str, state: ServerState, slots: int, load: float
     ) -> None:
-        """Take nothing."""
+        """Do nothing."""
 
     def suspect(self, instance: str, incarnation: int) -> None:
-        """Take nothing."""
+        """Do nothing."""
 
 
 class Fleet:
-    """Services by instance; each is started by `start`."""
+    """Configuration services by instance, started with `start`."""
 
     def __init__(self, stack: ExitStack, counts: dict[str, int]) -> None:
         self.platform = MemoryPlatform()
@@ -132,14 +132,14 @@
         stack.callback(self.board.executor.shutdown)
 
     def start(self, *instances: str) -> None:
-        """Start some daemons, or all without names."""
+        """Start the named daemons, or all if no name is given."""
         for domain, members in self.members_by_domain.items():
             for member in members:
                 if not instances or member.instance in instances:
                     self._start(domain, member)
 
     def kill(self, instance: str) -> None:
-        """End a daemon without a word; it stays on the lists of members."""
+        """Stop a daemon without releasing its lease; it stays in the member lists."""
         service = self.services_by_instance.pop(instance)
         service._relay._lease.release = lambda: None  # type: ignore[method-assign]
         service.__exit__(None, None, None)
@@ -147,28 +147,28 @@
         [address] = [item.address for item in members if item.instance == instance]
         del self.board.link_by_address[address]
 
-    def leave(self, instance: str) -> None:
-        """Take a daemon off everybody's list of members."""
+    def remove_member(self, instance: str) -> None:
+        """Remove a daemon from the member lists of all daemons."""
         domain = instance.split("-")[0]
-        left = (
+        remaining = (
             item for item in self.members_by_domain[domain] if item.instance != instance
         )
-        self.members_by_domain[domain] = tuple(left)
+        self.members_by_domain[domain] = tuple(remaining)
 
-    def cut(self, domain: str) -> None:
-        """Cut a domain off from the others and from the platform."""
+    def partition(self, domain: str) -> None:
+        """Partition a domain from the other domains and from the platform."""
         inside = {item.address for item in self.members_by_domain[domain]}
         self.board.cut = lambda one, other: (one in inside) != (other in inside)
         names = frozenset(item.instance for item in self.members_by_domain[domain])
         self.platform.inject(cut_clients=names)
 
-    def heal(self) -> None:
-        """End a cut."""
+    def end_partition(self) -> None:
+        """End the partition."""
         self.board.cut = lambda _one, _other: False
         self.platform.inject(cut_clients=frozenset())
 
     def versions(self, domain: str = "") -> set[int]:
-        """Return the versions in force in a domain, or everywhere."""
+        """Return the active versions in a domain, or in all; 0 means no set."""
         states = [
             service.state()
             for name, service in self.services_by_instance.items()
@@ -180,7 +180,7 @@
         identity = PeerIdentity(member.instance, 1, domain)
         platform = self.platform.client(member.instance)
         by_domain, knows = self.members_by_domain, self.contacts_known
-        members = FixedMembers(domain, by_domain, knows)
+        members = StaticMembership(domain, by_domain, knows)
         service = ConfigService(
             identity,
             platform=platform,
@@ -196,6 +196,6 @@
 
 @contextmanager
 def fleet(**counts: int) -> Iterator[Fleet]:
-    """Provide daemons of some failure domains, not yet started."""
+    """Provide a fleet with a number of daemons per failure domain, not started."""
     with ExitStack() as stack:
         yield Fleet(stack, counts)
--- a/tests/daemon/test_config_faults.py
+++ b/tests/daemon/test_config_faults.py
@@ -1,4 +1,4 @@
-"""Failures of the platform and of the links to it while sets are spread."""
+"""Failures of the platform and of the network while sets are distributed."""
 
 import unittest
 
@@ -19,7 +19,7 @@
 
 
 def test_long_outage_is_seen_by_all_and_ends() -> None:
-    """All domains agree that nobody reaches the platform, until one does."""
+    """All domains detect an outage of the platform, and its end."""
     with fleet(east=4, west=3) as running:
         running.start()
         running.operator.publish()
@@ -34,7 +34,7 @@
 
 
 def test_outage_is_not_guessed_where_other_domains_are_unknown() -> None:
-    """A domain that never learned of others does not speak for all."""
+    """A domain without contacts does not report an outage for all domains."""
     with fleet(east=1) as running:
         running.contacts_known = False
         running.start()
@@ -47,7 +47,7 @@
 
 
 def test_fresh_daemon_in_an_outage_gets_the_set_of_its_peers() -> None:
-    """A daemon that starts while the platform is away asks its peers."""
+    """A daemon that starts during an outage of the platform polls its peers."""
     with fleet(east=5) as running:
         running.start("east-0", "east-1", "east-2", "east-3")
         running.operator.publish()
@@ -58,26 +58,28 @@
 
 
 def test_cut_off_domain_knows_that_it_may_be_behind() -> None:
-    """A domain that is cut off keeps its set, unproven, and no outage for all."""
+    """A partitioned domain keeps its unproven set and reports no outage for all."""
     with fleet(east=3, west=3) as running:
         running.start()
         running.operator.publish()
         wait_until(lambda: running.versions() == {1})
-        running.cut("west")
+        running.partition("west")
         running.operator.publish()
         wait_until(lambda: running.versions("east") == {2})
         west = running.services_by_instance["west-0"]
-        told_s = OPTIONS.reach_valid_s + OPTIONS.outage_valid_s
-        wait_until(lambda: _proof_age_s(west) > told_s + OPTIONS.outage_after_s)
+        outage_report_s = OPTIONS.reach_valid_s + OPTIONS.outage_valid_s
+        wait_until(
+            lambda: _proof_age_s(west) > outage_report_s + OPTIONS.outage_after_s
+        )
         assert running.versions("west") == {1}
         assert not _outage_for_all(west)
-        running.heal()
+        running.end_partition()
         wait_until(lambda: running.versions() == {2})
         wait_until(lambda: _proof_age_s(west) < 1)
 
 
 def test_domain_without_the_platform_is_fed_by_others() -> None:
-    """A domain that only lost the platform gets sets and proofs by the others."""
+    """A domain that cannot reach the platform gets sets and proofs from its peers."""
     with fleet(east=3, west=3) as running:
         running.start()
         running.operator.publish()
@@ -92,7 +94,7 @@
 
 
 def test_broken_head_keeps_the_last_good_set() -> None:
-    """A head without its set is reported; the last good set stays and is newest."""
+    """A head without its parts is reported; the last valid set stays proven."""
     with fleet(east=3) as running:
         running.start()
         running.operator.publish()
@@ -114,7 +116,7 @@
 
 
 def test_broken_head_that_skips_versions_proves_nothing() -> None:
-    """What may have been accepted in between is not known, so nothing is proven."""
+    """No proof is given, since a set in between may have been accepted."""
     with fleet(east=2) as running:
         running.start()
         running.operator.publish()
--- a/tests/daemon/test_config_service.py
+++ b/tests/daemon/test_config_service.py
@@ -1,4 +1,4 @@
-"""Failures while sets are spread: relays, platform, cuts, lost messages."""
+"""Distribution of sets with failed relays, lost messages and paused processes."""
 
 import unittest
 from functools import partial
@@ -6,7 +6,7 @@
 
 from damaskbay.core.dissemination.messages import Push, Status
 from damaskbay.core.dissemination.order import LEADER_PURPOSE, rank
-from damaskbay.daemon.config_messages import Loaded, PeerAnswer
+from damaskbay.daemon.config_messages import PeerReply, SetLoaded
 from damaskbay.daemon.config_relay import ConfigRelay
 from damaskbay.daemon.config_service import ConfigService
 from damaskbay.daemon.config_source import PlatformSetSource
@@ -14,8 +14,8 @@
 from tests.common import function_suite
 from tests.daemon.config_common import (
     OPTIONS,
-    FixedMembers,
     Fleet,
+    StaticMembership,
     fleet,
 )
 from tests.daemon.test_membership import wait_until
@@ -26,7 +26,7 @@
     return [item.instance for item in rank(members, LEADER_PURPOSE)[:2]]
 
 
-def _in_force(running: Fleet, version: int) -> bool:
+def _all_active(running: Fleet, version: int) -> bool:
     return running.versions() == {version}
 
 
@@ -36,12 +36,12 @@
 
 
 def test_new_sets_are_in_force_everywhere() -> None:
-    """Each accepted set reaches all daemons; few of them watch the platform."""
+    """Each accepted set reaches all daemons; only relays watch the platform."""
     with fleet(east=8, west=5) as running:
         running.start()
         for _ in range(3):
             version = running.operator.publish()
-            wait_until(partial(_in_force, running, version))
+            wait_until(partial(_all_active, running, version))
         by_client = running.platform.counters.by_client
         watching = {name for name, calls in by_client.items() if name and calls}
         expected = {*_relays(running, "east"), *_relays(running, "west")}
@@ -51,7 +51,7 @@
 
 
 def test_lost_pushes_are_repaired() -> None:
-    """Without a single push every daemon gets the set by asking."""
+    """If all pushes are lost, every daemon gets the set by polling."""
     with fleet(east=9) as running:
         running.start()
         for link in running.board.link_by_address.values():
@@ -63,27 +63,27 @@
 
 
 def test_subscribers_hear_of_each_newer_set() -> None:
-    """A callback gets the set in force and those after it."""
+    """A callback is called with each newer set."""
     with fleet(east=1) as running:
         running.start()
-        heard: list[int] = []
+        received: list[int] = []
         service = running.services_by_instance["east-0"]
-        service.subscribe(lambda config: heard.append(config.version))
+        service.subscribe(lambda config: received.append(config.version))
         running.operator.publish()
-        wait_until(lambda: heard == [1])
+        wait_until(lambda: received == [1])
         running.operator.publish()
-        wait_until(lambda: heard == [1, 2])
+        wait_until(lambda: received == [1, 2])
 
 
 def test_relay_that_stops_is_replaced() -> None:
-    """A relay that ends without a word only delays the next set."""
+    """A relay that stops without releasing its lease only delays the next set."""
     with fleet(east=6) as running:
         running.start()
         running.operator.publish()
         wait_until(lambda: running.versions() == {1})
-        lost = _relays(running, "east")[0]
-        running.kill(lost)
-        running.leave(lost)
+        killed = _relays(running, "east")[0]
+        running.kill(killed)
+        running.remove_member(killed)
         running.operator.publish()
         wait_until(lambda: running.versions() == {2})
         wait_until(
@@ -98,15 +98,15 @@
 
 
 def test_both_relays_of_a_domain_lost_at_once() -> None:
-    """Before anybody knows that they are gone, others fetch the next set."""
+    """Remaining daemons get the next set before the failure is detected."""
     with fleet(east=7, west=3) as running:
         running.start()
         running.operator.publish()
-        wait_until(partial(_in_force, running, 1))
-        for lost in _relays(running, "east"):
-            running.kill(lost)
+        wait_until(partial(_all_active, running, 1))
+        for killed in _relays(running, "east"):
+            running.kill(killed)
         running.operator.publish()
-        wait_until(partial(_in_force, running, 2))
+        wait_until(partial(_all_active, running, 2))
         left = running.services_by_instance.values()
         start = next(iter(left)).clock()
         wait_until(
@@ -115,21 +115,21 @@
 
 
 def test_relay_paused_past_its_lease_tells_nothing() -> None:
-    """What a relay read before a pause is thrown away after it."""
+    """A set is discarded if the relay's lease ended while it was read."""
     with fleet(east=1) as running:
         posted: list[object] = []
         now = 100.0
         platform = running.platform.client("east-0")
 
         class PausedSource(PlatformSetSource):
-            """Pauses for long while a set is read."""
+            """Source that advances the clock by `pause_s` while a set is read."""
 
             def load(self, *arguments: Any, **named: Any) -> Any:
                 nonlocal now
                 now += pause_s
                 return super().load(*arguments, **named)
 
-        def post_up(item: object) -> bool:
+        def post_to_service(item: object) -> bool:
             posted.append(item)
             return True
 
@@ -137,9 +137,9 @@
             PeerIdentity("east-0", 1, "east"),
             platform=platform,
             source=PausedSource(platform),
-            membership=FixedMembers("east", running.members_by_domain),
+            membership=StaticMembership("east", running.members_by_domain),
             options=OPTIONS,
-            post_up=post_up,
+            post_to_service=post_to_service,
             clock=lambda: now,
         )
         running.operator.publish()
@@ -148,25 +148,25 @@
         assert not posted
         pause_s = 0.1
         relay.tick(now)
-        assert isinstance(posted[0], Loaded)
+        assert isinstance(posted[0], SetLoaded)
 
 
 def test_pause_makes_no_proof_younger() -> None:
-    """A proof counts from when it was asked for, however late its answer."""
+    """A proof counts from the time of the request, however late the reply is."""
     with fleet(east=2) as running:
         running.start()
         service = running.services_by_instance["east-0"]
         running.platform.inject(outage=True)
-        answer = Status(0, "east", 0.5, None)
+        reply = Status(0, "east", 0.5, None)
         address = running.members_by_domain["east"][1].address
-        asked_at = service.clock() + 50
-        service.post(PeerAnswer(address, "east", asked_at, answer))
+        sent_at = service.clock() + 50
+        service.post(PeerReply(address, "east", sent_at, reply))
         wait_until(lambda: service._freshness.proven_at > service.clock() + 40)
-        assert service._freshness.proven_at == asked_at - 0.5
+        assert service._freshness.proven_at == sent_at - 0.5
 
 
 def test_lease_answer_lost() -> None:
-    """A lease whose answer was lost is held once and known by reading."""
+    """If the reply to a lease write is lost, the lease is recognised by reading."""
     with fleet(east=1) as running:
         running.platform.inject(lose_answers=1)
         running.start()
--- a/tests/daemon/test_membership.py
+++ b/tests/daemon/test_membership.py
@@ -16,14 +16,14 @@
 from tests.common import function_suite
 from tests.daemon.fake_link import FakeLink, Switchboard
 
-LIMIT_S = 20.0
+WAIT_LIMIT_S = 20.0
 
 
 def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition with a generous upper bound."""
-    end = time.monotonic() + LIMIT_S
+    """Wait until a condition is true; fail after `WAIT_LIMIT_S` seconds."""
+    end = time.monotonic() + WAIT_LIMIT_S
     while not condition():
-        assert time.monotonic() < end, "the condition did not come true"
+        assert time.monotonic() < end, "the condition did not become true in time"
         time.sleep(0.02)
 
 
@@ -32,8 +32,8 @@
 )
 
 
-class Running:
-    """Services by instance, started one by one."""
+class ServiceGroup:
+    """Membership services by instance, started one by one with `start`."""
 
     def __init__(self, stack: ExitStack) -> None:
         self.board = Switchboard()
@@ -50,7 +50,7 @@
         pool: str = "p",
         seed_by: str | None = None,
     ) -> MembershipService:
-        """Start a service beside a ready server."""
+        """Start a service and announce a ready backend server."""
         index = len(self.by_instance)
         identity = PeerIdentity(instance, 1, domain)
         address = PeerAddress("127.0.0.1", 7_000 + index)
@@ -71,16 +71,16 @@
 
 
 @contextmanager
-def starting() -> Iterator[Running]:
-    """Provide services of any failure domain, ended at exit."""
+def service_group() -> Iterator[ServiceGroup]:
+    """Provide a group of services, which are stopped at exit."""
     with ExitStack() as stack:
-        yield Running(stack)
+        yield ServiceGroup(stack)
 
 
 @contextmanager
 def services(count: int) -> Iterator[list[MembershipService]]:
-    """Run services of one failure domain that join by the first."""
-    with starting() as running:
+    """Run services of one failure domain that join through the first one."""
+    with service_group() as running:
         for index in range(count):
             seed_by = "i0" if index else None
             running.start(f"i{index}", seed_by=seed_by)
@@ -88,7 +88,7 @@
 
 
 def test_services_find_each_other_and_see_one_leave() -> None:
-    """All see all; a service that leaves is gone for the others."""
+    """All services list each other; one that drains is no longer listed."""
     with services(4) as running:
         wait_until(lambda: all(len(item.servers("p")) == 4 for item in running))
         assert [view.local for view in running[1].servers("p")].count(True) == 1
@@ -102,7 +102,7 @@
 
 
 def test_a_reported_failure_of_a_live_server_is_forgiven() -> None:
-    """A server that was avoided for a failed call comes back."""
+    """A server that was excluded for a failed call is listed again."""
     with services(3) as running:
         wait_until(lambda: all(len(item.servers("p")) == 3 for item in running))
         running[0].suspect("i1", 1)
@@ -111,23 +111,23 @@
 
 
 def test_contacts_in_the_platform_are_enough_to_join() -> None:
-    """A service without a seed finds its failure domain by the platform."""
-    with starting() as running:
+    """A service without a seed joins through the contacts in the platform."""
+    with service_group() as running:
         first = running.start("i0")
         second = running.start("i1")
         wait_until(lambda: len(first.members()) == 2 == len(second.members()))
-        found = running.platform.list(CONTACT_PREFIX, timeout_s=1)
-        assert isinstance(found, tuple)
-        assert len(found) <= OPTIONS.delegates
+        contacts = running.platform.list(CONTACT_PREFIX, timeout_s=1)
+        assert isinstance(contacts, tuple)
+        assert len(contacts) <= OPTIONS.delegates
 
 
 def test_contacts_written_at_once_by_others_are_not_left_out() -> None:
-    """A delegate that writes its contact reads again what others wrote meanwhile."""
+    """A delegate reads the contacts again after it has written its own."""
     platform = MemoryPlatform()
     other = Contact("west", 0, 0, *[PeerAddress("127.0.0.1", 9)] * 2)
 
     class RacingPlatform(MemoryPlatform):
-        """Lets another domain write before each write."""
+        """Platform where another domain writes a contact before each write."""
 
         def client(self, name: str) -> MemoryPlatform:
             return self
@@ -143,15 +143,15 @@
 
     racing = RacingPlatform()
     racing._shared = platform._shared
-    with starting() as running:
+    with service_group() as running:
         running.platform = racing
         east = running.start("e0", domain="east")
         wait_until(lambda: set(east.contacts_by_domain()) == {"east", "west"})
 
 
 def test_servers_of_other_domains_are_found_on_demand() -> None:
-    """A pool of another domain is known after it was asked for, and its drain."""
-    with starting() as running:
+    """Servers of a remote pool are listed on demand; a draining one is replaced."""
+    with service_group() as running:
         for index in range(5):
             running.start(f"e{index}", domain="east", seed_by="e0" if index else None)
         for index in range(6):
@@ -163,8 +163,8 @@
         )
         assert {view.failure_domain for view in east[0].servers("q")} == {"west"}
         drained = east[0].servers("q")[0].instance
-        leaving = running.by_instance[drained]
-        leaving.announce(pool="q", state=ServerState.DRAINING, slots=4, load=0)
+        draining = running.by_instance[drained]
+        draining.announce(pool="q", state=ServerState.DRAINING, slots=4, load=0)
         wait_until(lambda: all(drained not in _instances(item) for item in east))
         wait_until(
             lambda: all(len(item.servers("q")) == SAMPLE_SERVERS for item in east)
@@ -172,8 +172,8 @@
 
 
 def test_failed_call_to_another_domain_is_remembered_for_a_time() -> None:
-    """A server of another domain is left out after a failed call, then tried."""
-    with starting() as running:
+    """A remote server is excluded for a time after a failed call, then listed."""
+    with service_group() as running:
         east = running.start("e0", domain="east")
         running.start("w0", domain="west", pool="q")
         running.start("w1", domain="west", pool="q", seed_by="w0")
