--- a/damaskbay/daemon/config_messages.py
+++ b/damaskbay/daemon/config_messages.py
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigReport:
-    """State of the configuration on this daemon, as `status` shows it."""
+    """Summary of the configuration state of this daemon."""
 
     version: int
     digest: str
--- a/damaskbay/daemon/config_polling.py
+++ b/damaskbay/daemon/config_polling.py
@@ -101,8 +101,8 @@
         return parent
 
     def _random_peer(self, members: tuple[MemberView, ...]) -> MemberView | None:
-        own = self._identity.instance
-        peers = [item for item in members if item.instance != own]
+        local = self._identity.instance
+        peers = [item for item in members if item.instance != local]
         return self._rng.choice(peers) if peers else None
 
     def _remote_targets(self) -> list[PollTarget]:
--- a/damaskbay/daemon/config_relay.py
+++ b/damaskbay/daemon/config_relay.py
@@ -135,11 +135,11 @@
                     requested_at + timeout_s if timed_out else requested_at
                 )
             case Head():
-                self._load_head(observed, requested_at)
+                self._load_set(observed, requested_at)
             case SourceUnavailable():
                 self._delay_retry()
 
-    def _load_head(self, head: Head, requested_at: float) -> None:
+    def _load_set(self, head: Head, requested_at: float) -> None:
         """Load the set of a newer head; skip a head that is invalid or not newer."""
         if head.problem or head.version <= self._loaded_version:
             self._skip_head(
@@ -154,13 +154,13 @@
             return
         match result:
             case Document():
-                self._accept(head, result, requested_at)
+                self._accept_set(head, result, requested_at)
             case SourceUnavailable():
                 self._delay_retry()
             case InvalidSet():
                 self._skip_head(head, f"version {head.version}: {result.detail}")
 
-    def _accept(self, head: Head, document: Document, requested_at: float) -> None:
+    def _accept_set(self, head: Head, document: Document, requested_at: float) -> None:
         self._head = head
         self._loaded_version = head.version
         self._document = document
--- a/damaskbay/daemon/config_service.py
+++ b/damaskbay/daemon/config_service.py
@@ -114,7 +114,7 @@
         self.post(Subscription(callback))
 
     def report(self) -> ConfigReport:
-        """Return the state of the configuration for `status`. Thread-safe."""
+        """Return a summary of the configuration state. Thread-safe."""
         now = self.clock()
         domains = self._poll_scheduler.remote_domains() or ()
         active, state = self._active, self._state
--- a/damaskbay/daemon/membership.py
+++ b/damaskbay/daemon/membership.py
@@ -75,7 +75,7 @@
         self.identity = identity
         self._link = link
         self._socket = GossipSocket(gossip, PacketCodec(*secrets), self._post_packet)
-        own = MemberEntry(
+        own_entry = MemberEntry(
             identity.instance,
             identity.incarnation,
             0,
@@ -86,14 +86,14 @@
         )
         options = options or MembershipOptions()
         rng = Random(seed)
-        self._swim = Swim(own, options, rng, self.clock())
+        self._swim = Swim(own_entry, options, rng, self.clock())
         self._seeds = tuple(seeds)
         self._swim.set_seeds(self._seeds)
         self._contact_book = ContactBook()
         self._views = Views()
         self._displacement_logged = False
         self._exchange = DomainExchange(
-            own,
+            own_entry,
             own_servers=lambda pool: self._views.entries(pool, self._swim),
             link=link,
             book=self._contact_book,
@@ -104,7 +104,7 @@
         self._contact_maintainer: ContactMaintainer | None = None
         if platform is not None:
             self._contact_maintainer = ContactMaintainer(
-                own,
+                own_entry,
                 platform=platform,
                 members=self.members,
                 post_to_service=self.post,
@@ -227,20 +227,20 @@
         )
         self._send(outgoing)
 
-    def _handle_call_failure(self, failed: CallFailed, now: float) -> None:
-        if self._views.by_instance.get(failed.instance) is None:
-            self._exchange.avoid(failed.instance, now)
+    def _handle_call_failure(self, message: CallFailed, now: float) -> None:
+        if self._views.by_instance.get(message.instance) is None:
+            self._exchange.avoid(message.instance, now)
             return
-        self._send(self._swim.suspect(failed.instance, failed.incarnation, now))
+        self._send(self._swim.suspect(message.instance, message.incarnation, now))
 
     def _handle_contacts(self, message: ContactsRead) -> None:
         self._contact_book.take(message.contacts)
-        own = (
+        local_seeds = (
             item.gossip
             for item in message.seeds
             if item.failure_domain == self.identity.failure_domain
         )
-        self._swim.set_seeds((*self._seeds, *own))
+        self._swim.set_seeds((*self._seeds, *local_seeds))
 
     def _request_sync(self, target: MemberEntry) -> None:
         digests = Digests(
@@ -273,7 +273,7 @@
             if own_digest != peer_digest
         )
         same_contacts = request.contacts_digest == self._contact_book.digest()
-        responder.answer(self._entries(buckets, contacts=not same_contacts))
+        responder.answer(self._pack_buckets(buckets, contacts=not same_contacts))
 
     def _handle_sync_reply(self, message: SyncReply, now: float) -> None:
         reply = message.reply
@@ -282,11 +282,11 @@
             return
         contacts_differ = bool(reply.contacts)
         if reply.buckets or contacts_differ:
-            own_entries = self._entries(reply.buckets, contacts=contacts_differ)
+            own_entries = self._pack_buckets(reply.buckets, contacts=contacts_differ)
             self._link.send(message.address, own_entries)
             self._merge(reply, now)
 
-    def _entries(self, buckets: tuple[int, ...], *, contacts: bool) -> Entries:
+    def _pack_buckets(self, buckets: tuple[int, ...], *, contacts: bool) -> Entries:
         entries = pack_entries(self._swim.table.in_buckets(buckets))
         return Entries(
             buckets,
@@ -308,7 +308,7 @@
             self._socket.send(item)
 
     def _refresh_views(self) -> None:
-        self._exchange.mark_changed(self._views.refresh(self._swim))
+        self._exchange.mark_pools_changed(self._views.refresh(self._swim))
         if self._swim.displaced and not self._displacement_logged:
             self._displacement_logged = True
             _LOGGER.error(
--- a/damaskbay/daemon/membership_contacts.py
+++ b/damaskbay/daemon/membership_contacts.py
@@ -27,7 +27,7 @@
 
 class ContactMaintainer(Task):
     """
-    Task that reads all contacts and writes its own while the daemon is a delegate.
+    Task that reads all contacts and writes the daemon's own while it is a delegate.
 
     A daemon without known members is its own delegate, so it reads contacts and can
     join. Contacts are hints: an outdated one does no harm. Their lease is long; it
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        own: MemberEntry,
+        own_entry: MemberEntry,
         *,
         platform: Platform,
         members: Callable[[], tuple[MemberView, ...]],
@@ -45,13 +45,13 @@
         rng: Random,
     ) -> None:
         super().__init__("contacts", tick_s=_TICK_S)
-        self._own = own
+        self._own_entry = own_entry
         self._platform = platform
         self._members = members
         self._post_to_service = post_to_service
         self._options = options
         self._rng = rng
-        self._order = FleetOrder(own.instance, LEADER_PURPOSE, options.delegates)
+        self._order = FleetOrder(own_entry.instance, LEADER_PURPOSE, options.delegates)
         self._next_read_at = 0.0
         self._next_renewal_at = 0.0
         self._was_delegate = False
@@ -60,7 +60,7 @@
         """Ignore messages; this task receives none."""
 
     def tick(self, now: float) -> None:
-        """Read the contacts and renew its own when due."""
+        """Read the contacts and renew this daemon's own when due."""
         self._order.update(self._members())
         became_delegate = self._order.leads and not self._was_delegate
         self._was_delegate = self._order.leads
@@ -68,45 +68,53 @@
             return
         jitter = self._rng.uniform(0.9, 1.1)
         self._next_read_at = now + self._options.contact_period_s * jitter
-        contacts_before = self._read()
+        contacts_before = self._read_contacts()
         contacts = contacts_before
-        if contacts_before is not None and self._update_own(contacts_before, now):
-            contacts = self._read()
+        if contacts_before is not None and self._update_own_contact(
+            contacts_before, now
+        ):
+            contacts = self._read_contacts()
         if contacts_before is None or contacts is None:
             self._next_read_at = now + 2 * _TICK_S
             return
         self._post_to_service(ContactsRead(contacts, seeds=contacts_before))
 
-    def _read(self) -> tuple[Contact, ...] | None:
+    def _read_contacts(self) -> tuple[Contact, ...] | None:
         entries = self._platform.list(CONTACT_PREFIX, timeout_s=_PLATFORM_TIMEOUT_S)
         if isinstance(entries, PlatformFailure):
             return None
         contacts = (_decode_contact(entry) for entry in entries)
         return tuple(contact for contact in contacts if contact is not None)
 
-    def _update_own(self, contacts: tuple[Contact, ...], now: float) -> bool:
+    def _update_own_contact(self, contacts: tuple[Contact, ...], now: float) -> bool:
         """
         Write the own contact if due; return whether a write was attempted.
 
-        The caller reads again after a write. If it added the written contact to the
-        earlier result, contacts that others wrote in between would be missing from a
-        result that looks newer.
+        The caller reads again after a write. If it merged the written contact into the
+        earlier result instead, that result would look newer, but contacts that other
+        daemons wrote in between would be missing.
         """
-        domain = self._own.failure_domain
+        domain = self._own_entry.failure_domain
         leaders = [member.instance for member in self._order.leaders]
-        slot = leaders.index(self._own.instance)
-        own = Contact(domain, slot, 0, self._own.address, self._own.gossip)
-        current = [item for item in contacts if item.place == own.place]
-        if current and _same_addresses(current[0], own) and now < self._next_renewal_at:
+        slot = leaders.index(self._own_entry.instance)
+        own_contact = Contact(
+            domain, slot, 0, self._own_entry.address, self._own_entry.gossip
+        )
+        current = [item for item in contacts if item.place == own_contact.place]
+        if (
+            current
+            and _same_addresses(current[0], own_contact)
+            and now < self._next_renewal_at
+        ):
             return False
-        if self._write(own, current[0].revision if current else 0):
+        if self._write_contact(own_contact, current[0].revision if current else 0):
             self._next_renewal_at = now + self._options.contact_renew_s
         return True
 
-    def _write(self, own: Contact, revision: int) -> bool:
+    def _write_contact(self, contact: Contact, revision: int) -> bool:
         result = self._platform.compare_and_swap(
-            f"{CONTACT_PREFIX}{own.failure_domain}/{own.slot}",
-            pack_contacts([own]),
+            f"{CONTACT_PREFIX}{contact.failure_domain}/{contact.slot}",
+            pack_contacts([contact]),
             expected_revision=revision,
             lease_s=self._options.contact_lease_s,
             timeout_s=_PLATFORM_TIMEOUT_S,
@@ -125,5 +133,5 @@
     )
 
 
-def _same_addresses(one: Contact, other: Contact) -> bool:
-    return (one.address, one.gossip) == (other.address, other.gossip)
+def _same_addresses(contact: Contact, other: Contact) -> bool:
+    return (contact.address, contact.gossip) == (other.address, other.gossip)
--- a/damaskbay/daemon/membership_exchange.py
+++ b/damaskbay/daemon/membership_exchange.py
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        own: MemberEntry,
+        own_entry: MemberEntry,
         *,
         own_servers: Callable[[str], Iterable[MemberEntry]],
         link: PeerLink,
@@ -41,13 +41,15 @@
         self._link = link
         self._options = options
         self._post = post
-        self._order = FleetOrder(own.instance, LEADER_PURPOSE, options.delegates)
-        self._exchange = Exchange(own, own_servers, self._order, book, options, rng)
+        self._order = FleetOrder(own_entry.instance, LEADER_PURPOSE, options.delegates)
+        self._exchange = Exchange(
+            own_entry, own_servers, self._order, book, options, rng
+        )
         self._views = RemoteViews()
         self._requested_pools: set[str] = set()
 
     def servers(self, pool: str) -> tuple[ServerView, ...]:
-        """Return the known remote servers of a pool, and record that it is wanted."""
+        """Return the known remote servers of a pool, and record the demand."""
         self._requested_pools.add(pool)
         return self._views.servers_by_pool.get(pool, ())
 
@@ -55,7 +57,7 @@
         """Return a server of a remote domain, or None if it is unknown."""
         return self._views.by_instance.get(instance)
 
-    def mark_changed(self, pools: Iterable[str]) -> None:
+    def mark_pools_changed(self, pools: Iterable[str]) -> None:
         """Record that local servers of these pools have changed."""
         self._exchange.own_revisions.touch(pools)
 
@@ -83,13 +85,13 @@
     def handle_reply(self, message: ServersReply, now: float) -> None:
         """Apply the reply to a request, or record its failure."""
         if isinstance(message.reply, Servers):
-            self.apply(message.reply, now, answered=True)
+            self.apply(message.reply, now, is_reply=True)
         else:
             self._exchange.lost(message.domain, now)
 
-    def apply(self, servers: Servers, now: float, *, answered: bool = False) -> None:
-        """Apply server states that a peer sent."""
-        self._refresh(self._exchange.take(servers, now, answered=answered), now)
+    def apply(self, servers: Servers, now: float, *, is_reply: bool = False) -> None:
+        """Apply server states that a peer sent; `is_reply` if they were requested."""
+        self._refresh(self._exchange.take(servers, now, answered=is_reply), now)
 
     def _refresh(self, pools: Iterable[str], now: float) -> None:
         self._views.refresh(pools, self._exchange.remote, now)
--- a/damaskbay/daemon/platform_lease.py
+++ b/damaskbay/daemon/platform_lease.py
@@ -62,7 +62,7 @@
             return False
         if found is None:
             return self._write(key, 0)
-        if self._is_own(found):
+        if self._has_own_value(found):
             return self._write(key, found.revision)
         return False
 
@@ -87,5 +87,5 @@
             self._entry = None
         return False
 
-    def _is_own(self, entry: Entry) -> bool:
+    def _has_own_value(self, entry: Entry) -> bool:
         return entry.value.decode(errors="replace").startswith(f"{self._holder}/")
--- a/tests/daemon/test_config_service.py
+++ b/tests/daemon/test_config_service.py
@@ -107,10 +107,10 @@
             running.kill(killed)
         running.operator.publish()
         wait_until(partial(_all_active, running, 2))
-        left = running.services_by_instance.values()
-        start = next(iter(left)).clock()
+        remaining = running.services_by_instance.values()
+        start = next(iter(remaining)).clock()
         wait_until(
-            lambda: all(item.clock() - _proof_age_s(item) > start for item in left)
+            lambda: all(item.clock() - _proof_age_s(item) > start for item in remaining)
         )
 
 
--- a/tests/daemon/test_membership.py
+++ b/tests/daemon/test_membership.py
@@ -124,7 +124,7 @@
 def test_contacts_written_at_once_by_others_are_not_left_out() -> None:
     """A delegate reads the contacts again after it has written its own."""
     platform = MemoryPlatform()
-    other = Contact("west", 0, 0, *[PeerAddress("127.0.0.1", 9)] * 2)
+    west_contact = Contact("west", 0, 0, *[PeerAddress("127.0.0.1", 9)] * 2)
 
     class RacingPlatform(MemoryPlatform):
         """Platform where another domain writes a contact before each write."""
@@ -135,7 +135,7 @@
         def compare_and_swap(self, key: str, value: bytes, **named: Any) -> Any:
             platform.compare_and_swap(
                 f"{CONTACT_PREFIX}west/0",
-                pack_contacts([other]),
+                pack_contacts([west_contact]),
                 expected_revision=0,
                 timeout_s=1,
             )
