--- a/damaskbay/mesh/app.py
+++ b/damaskbay/mesh/app.py
@@ -27,13 +27,13 @@
     Shared,
     Surroundings,
     make_ingress,
-    make_repeats,
+    make_retry_budget,
     make_target,
 )
 from damaskbay.mesh.config_watch import ConfigWatch, PeerConfig
 from damaskbay.mesh.configuration import Configuration
 from damaskbay.mesh.const import (
-    OWN_WATCH_AFTER_S,
+    DIRECT_WATCH_PROOF_AGE_S,
 )
 from damaskbay.mesh.directory import Directory, MemberRecord
 from damaskbay.mesh.exchange import Exchange, ExchangeParts
@@ -42,9 +42,9 @@
 from damaskbay.mesh.messages import (
     ConfigWanted,
     DemandReport,
-    DomainWanted,
+    DomainDemandRequest,
     Note,
-    TokenWanted,
+    TokenRequest,
 )
 from damaskbay.mesh.neighbours import wanted_neighbours
 from damaskbay.mesh.observing import ObservedParts, Observing
@@ -94,7 +94,7 @@
         self._shares = DemandShares(options)
         self._token_pool = TokenPool(settings.failure_domain, options)
         self._make_followers()
-        self._repeats = make_repeats(settings)
+        self._repeats = make_retry_budget(settings)
         self._telemetry = BoundTelemetry()
         shared = Shared(
             self.configuration,
@@ -254,7 +254,7 @@
                 pool=DemandPool(self.settings.failure_domain),
                 tokens=self._token_pool,
                 configuration=self.configuration,
-                ask=self._peer_config.ask,
+                fetch_config=self._peer_config.fetch,
                 members_known=self._members_known,
                 clock=monotonic_s,
             )
@@ -273,8 +273,10 @@
 
     def _watch_needed(self) -> bool:
         """Tell whether this daemon has to watch the configuration in the store."""
-        age_s = self.configuration.age_s(monotonic_s())
-        return self._exchange.relaying or age_s is None or age_s > OWN_WATCH_AFTER_S
+        age_s = self.configuration.proof_age_s(monotonic_s())
+        return (
+            self._exchange.is_relay or age_s is None or age_s > DIRECT_WATCH_PROOF_AGE_S
+        )
 
     def _members_known(self) -> bool:
         """Tell whether the number of daemons is known, not just the own."""
@@ -333,17 +335,17 @@
         if not known:
             self._members_changed()
         if note.config_version > self.configuration.version:
-            self._peer_config.ask(PeerAddress(note.host, note.port))
+            self._peer_config.fetch(PeerAddress(note.host, note.port))
 
     async def _peer_request(self, message: Any) -> Any:
         if isinstance(message, ConfigWanted):
-            return self._peer_config.held(message)
+            return self._peer_config.handle_request(message)
         if isinstance(message, DemandReport):
-            return self._exchange.state(message)
-        if isinstance(message, DomainWanted):
+            return self._exchange.handle_report(message)
+        if isinstance(message, DomainDemandRequest):
             return self._exchange.domain_demand(message)
-        if isinstance(message, TokenWanted):
-            return await self._tokens.wanted(message)
+        if isinstance(message, TokenRequest):
+            return await self._tokens.handle_request(message)
         if isinstance(message, CallMessage):
             context = context_of(message, now=monotonic_s())
             result = await self._target.run(context, request_of(message))
@@ -369,7 +371,7 @@
 
     def _config_changed(self, config: ConfigSet) -> None:
         self._callers.limits = config.caller_limits
-        if self._exchange.relaying:
+        if self._exchange.is_relay:
             self._links.tell_all()
 
     def _weight_of(self, workspace: str) -> float:
@@ -378,7 +380,7 @@
         return found.weight if found is not None else 1.0
 
     async def _expire(self) -> None:
-        await self._gate.keep_expiring(monotonic_s)
+        await self._gate.run_expiry(monotonic_s)
 
     async def _forget(self) -> None:
         while True:
--- a/damaskbay/mesh/assembly.py
+++ b/damaskbay/mesh/assembly.py
@@ -14,7 +14,7 @@
 from damaskbay.helpers.clock import monotonic_s
 from damaskbay.mesh.config_watch import Decode
 from damaskbay.mesh.configuration import Configuration
-from damaskbay.mesh.const import REPEAT_RATIO_SHARE, REPEAT_SLACK_SHARE
+from damaskbay.mesh.const import RETRY_RATIO_SHARE, RETRY_SLACK_SHARE
 from damaskbay.mesh.dialect import Dialect
 from damaskbay.mesh.directory import Directory
 from damaskbay.mesh.dispatch import Dispatcher, DispatchParts
@@ -118,11 +118,11 @@
     )
 
 
-def make_repeats(settings: MeshSettings) -> RepeatBudget:
+def make_retry_budget(settings: MeshSettings) -> RepeatBudget:
     """Return the budget of the server's part of what its pool may get again."""
     return RepeatBudget(
         RepeatOptions(
-            ratio=REPEAT_RATIO_SHARE * settings.retry_ratio,
-            saved=max(1.0, REPEAT_SLACK_SHARE * settings.retry_slack),
+            ratio=RETRY_RATIO_SHARE * settings.retry_ratio,
+            saved=max(1.0, RETRY_SLACK_SHARE * settings.retry_slack),
         )
     )
--- a/damaskbay/mesh/config_watch.py
+++ b/damaskbay/mesh/config_watch.py
@@ -98,7 +98,7 @@
                 if value is not None:
                     self._take(value, began_at)
             if not values:
-                self._configuration.prove(self._configuration.version, began_at)
+                self._configuration.record_proof(self._configuration.version, began_at)
 
     def take_document(self, document: bytes, source: str) -> None:
         """Put a stored value in force if it is a newer set."""
@@ -109,13 +109,13 @@
                 extra={"why": decoded, "version": self._configuration.version},
             )
             return
-        self._configuration.take(decoded, document, source)
+        self._configuration.activate(decoded, document, source)
 
     def _take(self, document: bytes, began_at: float) -> None:
         if document != self._configuration.document:
             self.take_document(document, "store")
         if document == self._configuration.document:
-            self._configuration.prove(self._configuration.version, began_at)
+            self._configuration.record_proof(self._configuration.version, began_at)
 
     def _lost(self, failure: StoreFailure) -> None:
         if self.store_reached:
@@ -162,11 +162,11 @@
         self._clock = clock
         self._asking: set[asyncio.Task[None]] = set()
 
-    def held(self, wanted: ConfigWanted) -> ConfigHeld:
+    def handle_request(self, wanted: ConfigWanted) -> ConfigHeld:
         """Answer a peer that asks."""
         configuration = self._configuration
         newer = configuration.version > wanted.newer_than
-        age_s = configuration.age_s(self._clock())
+        age_s = configuration.proof_age_s(self._clock())
         document = configuration.document if newer else b""
         return ConfigHeld(configuration.version, document, age_s)
 
@@ -174,14 +174,14 @@
         """Ask a few peers whenever the own proof has grown old."""
         while True:
             await asyncio.sleep(ASK_PEERS_S)
-            age_s = self._configuration.age_s(self._clock())
+            age_s = self._configuration.proof_age_s(self._clock())
             if age_s is not None and age_s < ASK_PEERS_AFTER_S:
                 continue
             peers = list(self._peers())
             for peer in self._rng.sample(peers, min(PEERS_ASKED, len(peers))):
-                self.ask(peer)
+                self.fetch(peer)
 
-    def ask(self, peer: PeerAddress) -> None:
+    def fetch(self, peer: PeerAddress) -> None:
         """Ask one peer."""
         task = asyncio.get_running_loop().create_task(self._ask(peer))
         self._asking.add(task)
@@ -196,4 +196,6 @@
         if reply.document:
             self._watch.take_document(reply.document, str(peer))
         if reply.proof_age_s is not None:
-            self._configuration.prove(reply.version, began_at - reply.proof_age_s)
+            self._configuration.record_proof(
+                reply.version, began_at - reply.proof_age_s
+            )
--- a/damaskbay/mesh/configuration.py
+++ b/damaskbay/mesh/configuration.py
@@ -36,7 +36,7 @@
         """Call back whenever a newer set is in force."""
         self._callbacks.append(callback)
 
-    def take(self, config: ConfigSet, document: bytes, source: str) -> bool:
+    def activate(self, config: ConfigSet, document: bytes, source: str) -> bool:
         """Put a set in force if it is newer; return whether it was."""
         if config.version <= self.version:
             return False
@@ -52,13 +52,13 @@
             callback(config)
         return True
 
-    def prove(self, version: int, began_at: float) -> None:
+    def record_proof(self, version: int, began_at: float) -> None:
         """Take a proof that a version was the newest at a time."""
         if version == self.version and (
             self.proven_at is None or began_at > self.proven_at
         ):
             self.proven_at = began_at
 
-    def age_s(self, now: float) -> float | None:
+    def proof_age_s(self, now: float) -> float | None:
         """Return how old the proof is, None where there is none."""
         return None if self.proven_at is None else max(0.0, now - self.proven_at)
--- a/damaskbay/mesh/dialect.py
+++ b/damaskbay/mesh/dialect.py
@@ -25,7 +25,7 @@
     not_run_statuses: frozenset[int]
 
     @property
-    def set_by_us(self) -> frozenset[str]:
+    def reserved_headers(self) -> frozenset[str]:
         """Return the headers, in lower case, that callers can't set themselves."""
         return frozenset(
             name.lower()
--- a/damaskbay/mesh/dispatch.py
+++ b/damaskbay/mesh/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends a request to a server, and again where that is allowed."""
+"""Sends a call to a backend server and retries it where that is allowed."""
 
 import logging
 from collections.abc import Callable
@@ -18,10 +18,10 @@
     to_call_message,
 )
 from damaskbay.mesh.const import (
-    ANSWER_GRACE_S,
     MAX_REDIRECTS,
+    MIN_RETRY_TIME_LEFT_S,
     NOT_READY_RETRY_S,
-    RESEND_LEAST_S,
+    REPLY_GRACE_S,
 )
 from damaskbay.mesh.directory import Directory
 from damaskbay.mesh.target import Target
@@ -32,12 +32,12 @@
 
 
 _RETRIED_STATUSES = frozenset({500, 502})
-"""Server failures after which another server may do better."""
+"""Error responses after which another server may succeed."""
 
 
 @dataclass(frozen=True, slots=True)
 class DispatchParts:
-    """What a dispatcher works with."""
+    """Dependencies of Dispatcher."""
 
     directory: Directory
     router: Router
@@ -47,18 +47,18 @@
 
 
 @dataclass(slots=True)
-class _Sends:
-    """What a request has cost so far; `answered` is a server's own failure."""
+class _Progress:
+    """Progress of a call; `error_response` is the last one that a server sent."""
 
-    arrived: int = 0
-    redirected: int = 0
+    attempts_made: int = 0
+    redirects: int = 0
     excluded: frozenset[str] = frozenset()
     may_have_run: bool = False
-    answered: CallResult | None = None
+    error_response: CallResult | None = None
 
 
 class Dispatcher:
-    """Chooses servers, sends, learns from outcomes, sends again within bounds."""
+    """Selects a server for each attempt, records outcomes and retries within limits."""
 
     def __init__(self, parts: DispatchParts) -> None:
         self._parts = parts
@@ -66,42 +66,44 @@
     async def dispatch(
         self, context: CallContext, route: Route, request: Request
     ) -> CallResult:
-        """Send until an answer, a refusal that stands, or the deadline."""
-        sends = _Sends()
+        """Send until a final response, a final refusal, or the deadline."""
+        progress = _Progress()
         while True:
-            if sends.arrived and not context.resent:
+            if progress.attempts_made and not context.resent:
                 context = replace(context, resent=True)
-            result = await self._attempt(context, request, sends)
-            if not self._again(context, route, sends, result):
-                return self._final(sends, result)
+            result = await self._attempt(context, request, progress)
+            if not self._should_retry(context, route, progress, result):
+                return self._final_result(progress, result)
 
     async def _attempt(
-        self, context: CallContext, request: Request, sends: _Sends
+        self, context: CallContext, request: Request, progress: _Progress
     ) -> CallResult:
         parts = self._parts
         now = parts.clock()
         servers = parts.directory.servers(context.pool)
-        choice = parts.router.choose(servers, context, excluded=sends.excluded, now=now)
+        choice = parts.router.choose(
+            servers, context, excluded=progress.excluded, now=now
+        )
         if isinstance(choice, Refusal):
             return CallResult(
                 replace(choice, retry_after_s=NOT_READY_RETRY_S), attempts=0
             )
-        sends.excluded |= {choice.instance}
+        progress.excluded |= {choice.instance}
         parts.router.started(choice.instance, now)
         failure: FailureKind | None = FailureKind.CANCELLED
         load: float | None = None
-        maybe_before, sends.may_have_run = sends.may_have_run, True
+        may_have_run_before, progress.may_have_run = progress.may_have_run, True
         try:
             result = await self._send(choice, context, request)
-            failure, load = _failure_of(result), result.load
+            failure, load = _failure_kind(result), result.load
         finally:
             ended = parts.clock()
             outcome = RouteOutcome(ended - now, None, failure, load)
             parts.router.finished(choice.instance, outcome, ended)
-        outcome_value = result.result
-        if isinstance(outcome_value, Refusal) and outcome_value.not_run:
-            sends.may_have_run = maybe_before
-        sends.arrived += result.attempts
+        final = result.result
+        if isinstance(final, Refusal) and final.not_run:
+            progress.may_have_run = may_have_run_before
+        progress.attempts_made += result.attempts
         return result
 
     async def _send(
@@ -112,15 +114,15 @@
             return await parts.target.run(context, request)
         now = parts.clock()
         message = to_call_message(context, request, now=now)
-        timeout_s = max(0.0, context.deadline + ANSWER_GRACE_S - now)
+        timeout_s = max(0.0, context.deadline + REPLY_GRACE_S - now)
         reply = await parts.links.request(server.address, message, timeout_s=timeout_s)
         if isinstance(reply, (AnswerMessage, RefusalMessage)):
             return result_of(reply)
-        unsent = isinstance(reply, PeerFailure) and reply.problem in (
+        not_sent = isinstance(reply, PeerFailure) and reply.problem in (
             PeerProblem.NOT_SENT,
             PeerProblem.REJECTED,
         )
-        if unsent:
+        if not_sent:
             refusal = not_run(Reason.PEER_UNREACHABLE, retry_after_s=NOT_READY_RETRY_S)
             return CallResult(refusal, attempts=0, served_by=server.instance)
         timed_out = (
@@ -130,31 +132,35 @@
         refusal = unknown(reason, detail=str(reply))
         return CallResult(refusal, served_by=server.instance)
 
-    def _again(
-        self, context: CallContext, route: Route, sends: _Sends, result: CallResult
+    def _should_retry(
+        self,
+        context: CallContext,
+        route: Route,
+        progress: _Progress,
+        result: CallResult,
     ) -> bool:
-        """Tell whether to send again; the next target's budget has the last word."""
+        """Return whether to retry; the next target's retry budget may still refuse."""
         outcome = result.result
         if isinstance(outcome, Answer):
-            return self._worth_another(context, route, sends, result)
+            return self._should_retry_response(context, route, progress, result)
         if outcome.reason not in RETRIED_ELSEWHERE:
             return False
         now = self._parts.clock()
-        if context.deadline - now < RESEND_LEAST_S:
+        if context.deadline - now < MIN_RETRY_TIME_LEFT_S:
             return False
         if result.attempts == 0 and not outcome.not_run:
             return False
         if result.attempts == 0:
-            sends.redirected += 1
-            return sends.redirected < MAX_REDIRECTS
+            progress.redirects += 1
+            return progress.redirects < MAX_REDIRECTS
         if not (outcome.not_run or context.idempotent):
             return False
-        if sends.arrived > route.retries:
+        if progress.attempts_made > route.retries:
             return False
-        self._log_again(context, result, outcome.reason.value)
+        self._log_retry(context, result, outcome.reason.value)
         return True
 
-    def _log_again(self, context: CallContext, result: CallResult, why: str) -> None:
+    def _log_retry(self, context: CallContext, result: CallResult, why: str) -> None:
         _LOGGER.info(
             "ingress: request is sent again.",
             extra={
@@ -166,35 +172,39 @@
             },
         )
 
-    def _worth_another(
-        self, context: CallContext, route: Route, sends: _Sends, result: CallResult
+    def _should_retry_response(
+        self,
+        context: CallContext,
+        route: Route,
+        progress: _Progress,
+        result: CallResult,
     ) -> bool:
-        """Tell whether a server's own failure is worth a send to another server."""
+        """Return whether to retry an error response at another server."""
         outcome = result.result
         assert isinstance(outcome, Answer)
-        again = (
+        retry = (
             outcome.status in _RETRIED_STATUSES
             and context.idempotent
             and not result.nested_failed
-            and sends.arrived <= route.retries
-            and context.deadline - self._parts.clock() >= RESEND_LEAST_S
+            and progress.attempts_made <= route.retries
+            and context.deadline - self._parts.clock() >= MIN_RETRY_TIME_LEFT_S
         )
-        if again:
-            sends.answered = result
-            self._log_again(context, result, f"status {outcome.status}")
-        return again
+        if retry:
+            progress.error_response = result
+            self._log_retry(context, result, f"status {outcome.status}")
+        return retry
 
-    def _final(self, sends: _Sends, result: CallResult) -> CallResult:
-        """Return the result; a refusal after a send that may have run is unknown."""
+    def _final_result(self, progress: _Progress, result: CallResult) -> CallResult:
+        """Return the result; a refusal is unknown if an attempt may have run."""
         outcome = result.result
-        if isinstance(outcome, Refusal) and sends.answered is not None:
-            return sends.answered
-        if isinstance(outcome, Refusal) and outcome.not_run and sends.may_have_run:
+        if isinstance(outcome, Refusal) and progress.error_response is not None:
+            return progress.error_response
+        if isinstance(outcome, Refusal) and outcome.not_run and progress.may_have_run:
             return replace(result, result=replace(outcome, outcome=Outcome.UNKNOWN))
         return result
 
 
-def _failure_of(result: CallResult) -> FailureKind | None:
+def _failure_kind(result: CallResult) -> FailureKind | None:
     outcome = result.result
     if isinstance(outcome, Answer):
         failed = outcome.status >= FIRST_SERVER_ERROR and not result.nested_failed
--- a/damaskbay/mesh/exchange.py
+++ b/damaskbay/mesh/exchange.py
@@ -1,4 +1,4 @@
-"""Exchange of demand and of proofs of freshness, by way of a relay in each domain."""
+"""Exchanges demand and proofs of freshness through a relay in each failure domain."""
 
 import asyncio
 import logging
@@ -10,9 +10,9 @@
 from damaskbay.core.quota.shares import DemandShares
 from damaskbay.core.quota.token_pool import TokenPool
 from damaskbay.mesh.configuration import Configuration
-from damaskbay.mesh.const import RELAYS_PER_DOMAIN, REPORT_S, REPORT_TIMEOUT_S
+from damaskbay.mesh.const import RELAYS_PER_DOMAIN, REPORT_INTERVAL_S, REPORT_TIMEOUT_S
 from damaskbay.mesh.directory import Directory, MemberRecord
-from damaskbay.mesh.messages import DemandReport, DomainWanted, FleetState
+from damaskbay.mesh.messages import DemandReport, DomainDemandRequest, FleetState
 from damaskbay.mesh.neighbours import relay_order
 from damaskbay.ports.peer import PeerAddress
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeParts:
-    """What an exchange works with; `ask` has a newer configuration fetched."""
+    """Dependencies of Exchange; `fetch_config` starts to fetch a newer version."""
 
     instance: str
     failure_domain: str
@@ -31,61 +31,61 @@
     pool: DemandPool
     tokens: TokenPool
     configuration: Configuration
-    ask: Callable[[PeerAddress], None]
+    fetch_config: Callable[[PeerAddress], None]
     members_known: Callable[[], bool]
     clock: Callable[[], float]
 
 
 class Exchange:
     """
-    Reports to the daemon that relays for the own domain, or relays itself.
+    Reports demand to the relay of the local domain, or acts as the relay.
 
-    The relay is the first of the domain in an order that all agree on and that can
-    be reached from here. Two that relay at once do no harm: each sums what it hears
-    and takes the others of the domain for average ones.
+    The relay is the first reachable daemon of the domain in an order that is the
+    same at all daemons. Two relays at once do no harm: each sums the reports that
+    it receives and assumes average demand for the other daemons of the domain.
     """
 
     def __init__(self, parts: ExchangeParts) -> None:
         self._parts = parts
         self._relay = ""
-        self._orders: dict[str, list[MemberRecord]] = {}
-        self._counting = False
+        self._relay_orders: dict[str, list[MemberRecord]] = {}
+        self._fleet_known = False
 
     @property
-    def relaying(self) -> bool:
-        """Tell whether this daemon relays for its domain."""
+    def is_relay(self) -> bool:
+        """Return whether this daemon is the relay of its domain."""
         return self._relay == self._parts.instance
 
     @property
-    def counting(self) -> bool:
-        """Tell whether the daemons of the fleet are known."""
-        return self._counting
+    def fleet_known(self) -> bool:
+        """Return whether the daemons of the fleet are known."""
+        return self._fleet_known
 
     def relays(self, failure_domain: str) -> list[MemberRecord]:
-        """Return the relays of a domain in their order."""
-        return self._order(failure_domain)[:RELAYS_PER_DOMAIN]
+        """Return the relays of a domain, the preferred one first."""
+        return self._relay_order(failure_domain)[:RELAYS_PER_DOMAIN]
 
     def members_changed(self) -> None:
-        """Take an even share once the daemons are known, until demand is."""
+        """Set even shares as soon as the daemons are known but their demand isn't."""
         parts = self._parts
-        if self._counting or not parts.members_known():
+        if self._fleet_known or not parts.members_known():
             return
-        self._take_members()
+        self._update_members()
         parts.shares.counted(parts.pool.counted(parts.instance))
-        self._counting = True
+        self._fleet_known = True
 
     async def run(self) -> None:
-        """Report again and again until cancelled."""
+        """Report at fixed intervals until cancelled."""
         while True:
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
             await self._report()
 
-    def state(self, report: DemandReport) -> FleetState:
-        """Take a report and answer it."""
+    def handle_report(self, report: DemandReport) -> FleetState:
+        """Record a demand report and return the reply to it."""
         parts = self._parts
         version = parts.configuration.version
-        age_s = parts.configuration.age_s(parts.clock())
-        if not self._counting:
+        age_s = parts.configuration.proof_age_s(parts.clock())
+        if not self._fleet_known:
             return FleetState({}, {}, 0, version, age_s)
         parts.pool.reported(report.instance, report.demand)
         parts.tokens.reported(report.instance, parts.clock())
@@ -93,9 +93,9 @@
         own, total = dict(counted.own), dict(counted.total)
         return FleetState(own, total, counted.daemons, version, age_s)
 
-    def domain_demand(self, wanted: DomainWanted) -> DomainTotal:
-        """Answer the relay of another domain."""
-        if not self._counting:
+    def domain_demand(self, wanted: DomainDemandRequest) -> DomainTotal:
+        """Return the local domain's demand to the relay of a remote domain."""
+        if not self._fleet_known:
             return DomainTotal({}, 0, 0)
         parts = self._parts
         if wanted.domains == parts.tokens.domains:
@@ -107,36 +107,36 @@
     async def _report(self) -> None:
         parts = self._parts
         self.members_changed()
-        if not self._counting:
+        if not self._fleet_known:
             return
-        self._take_members()
-        relay = self._chosen_relay()
+        self._update_members()
+        relay = self._select_relay()
         if relay is None:
-            await self._relay_here()
+            await self._act_as_relay()
             return
         parts.pool.close_round()
         await self._report_to(relay)
 
-    def _take_members(self) -> None:
+    def _update_members(self) -> None:
         parts = self._parts
         by_domain = parts.directory.instances_by_domain()
         parts.pool.set_members(by_domain)
         parts.tokens.set_members(by_domain, parts.clock())
-        self._orders.clear()
+        self._relay_orders.clear()
 
-    def _order(self, domain: str) -> list[MemberRecord]:
-        """Return the order of a domain, worked out once between two reports."""
-        order = self._orders.get(domain)
+    def _relay_order(self, domain: str) -> list[MemberRecord]:
+        """Return the relay order of a domain, computed once per report interval."""
+        order = self._relay_orders.get(domain)
         if order is None:
             order = relay_order(self._parts.directory.records(), domain)
-            self._orders[domain] = order
+            self._relay_orders[domain] = order
         return order
 
-    def _chosen_relay(self) -> MemberRecord | None:
-        """Return the daemon to report to, None for this one."""
+    def _select_relay(self) -> MemberRecord | None:
+        """Return the daemon to report to, None if this one is the relay."""
         parts = self._parts
         chosen: MemberRecord | None = None
-        for record in self._order(parts.failure_domain):
+        for record in self._relay_order(parts.failure_domain):
             if record.instance == parts.instance:
                 break
             if parts.links.up(record.address):
@@ -154,10 +154,10 @@
     async def _report_to(self, relay: MemberRecord) -> None:
         parts = self._parts
         began_at = parts.clock()
-        told = parts.shares.demand(began_at)
+        demand = parts.shares.demand(began_at)
         reply = await parts.links.request(
             relay.address,
-            DemandReport(parts.instance, told),
+            DemandReport(parts.instance, demand),
             timeout_s=REPORT_TIMEOUT_S,
         )
         if not isinstance(reply, FleetState):
@@ -170,28 +170,30 @@
             counted = Counted(reply.own, reply.total, reply.daemons)
             parts.shares.counted(counted)
         if reply.config_version > parts.configuration.version:
-            parts.ask(relay.address)
+            parts.fetch_config(relay.address)
         elif reply.proof_age_s is not None:
             proven_at = began_at - reply.proof_age_s
-            parts.configuration.prove(reply.config_version, proven_at)
+            parts.configuration.record_proof(reply.config_version, proven_at)
 
-    async def _relay_here(self) -> None:
+    async def _act_as_relay(self) -> None:
         parts = self._parts
-        told = parts.shares.demand(parts.clock())
-        parts.pool.reported(parts.instance, told)
+        demand = parts.shares.demand(parts.clock())
+        parts.pool.reported(parts.instance, demand)
         parts.tokens.reported(parts.instance, parts.clock())
         parts.pool.close_round()
         parts.shares.counted(parts.pool.counted(parts.instance))
-        others = (item for item in parts.tokens.domains if item != parts.failure_domain)
-        await asyncio.gather(*(self._ask_domain(domain) for domain in others))
+        remote = (item for item in parts.tokens.domains if item != parts.failure_domain)
+        await asyncio.gather(
+            *(self._request_domain_demand(domain) for domain in remote)
+        )
 
-    async def _ask_domain(self, domain: str) -> None:
+    async def _request_domain_demand(self, domain: str) -> None:
         parts, tokens = self._parts, self._parts.tokens
         for record in self.relays(domain):
             if not parts.links.up(record.address):
                 continue
             began_at = parts.clock()
-            wanted = DomainWanted(
+            wanted = DomainDemandRequest(
                 parts.failure_domain,
                 tokens.own_daemons(began_at),
                 tokens.answer_age_s(domain, began_at),
--- a/damaskbay/mesh/gate.py
+++ b/damaskbay/mesh/gate.py
@@ -1,4 +1,4 @@
-"""Admission to the server beside this daemon, awaited on the event loop."""
+"""Admission control of the local backend server, as futures on the event loop."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -17,17 +17,17 @@
 from damaskbay.core.outcome import Reason, Refusal, not_run
 
 NESTED_QUEUE_PER_SLOT = 10.0
-"""Nested calls that may wait for each slot: a fraction of a second of work."""
+"""Nested calls that may wait per slot: a fraction of a second of work."""
 
-EXPIRE_S = 0.04
-"""Seconds between looks for calls that have waited too long at the server."""
+EXPIRE_INTERVAL_S = 0.04
+"""Seconds between checks for queued calls that have waited too long."""
 
-WAIT_SHARE = 0.5
-"""Part of its objective that a new call may wait for a slot; else it is refused."""
+MAX_WAIT_SHARE = 0.5
+"""Part of its objective that a new call may wait for a slot, or it is refused."""
 
 
 class Gate:
-    """Turns the decisions of the controller into futures. For one event loop."""
+    """Turns decisions of the admission controller into futures of one event loop."""
 
     def __init__(self, slots: int, rng: Random, now: float) -> None:
         options = AdmissionOptions(
@@ -38,42 +38,42 @@
         )
         self._controller = AdmissionController(options, rng, now)
         self._waiting: dict[int, asyncio.Future[Refusal | None]] = {}
-        self._last = 0
+        self._last_ticket = 0
         self._queued = asyncio.Event()
         self.slots = slots
 
     @property
     def running(self) -> int:
-        """Return the number of calls at the server."""
+        """Return the number of calls that run at the server."""
         return self._controller.running
 
     @property
     def waiting(self) -> int:
-        """Return the number of calls that wait."""
+        """Return the number of calls that wait for a slot."""
         return self._controller.waiting
 
     def load(self) -> float:
-        """Return calls running and waiting per slot."""
+        """Return the running and waiting calls per slot."""
         return (self.running + self.waiting) / max(1, self.slots)
 
     def level(self, now: float) -> int:
-        """Return the admission level to put on answers."""
+        """Return the admission level to report with responses."""
         return self._controller.level(now)
 
     async def enter(
         self, context: CallContext, weight: float, now: float
     ) -> int | Refusal:
-        """Wait for a slot and return its ticket, or a refusal."""
+        """Wait for a slot; return its ticket, or a refusal."""
         if context.depth == 0 and context.objective_s is not None:
             wait_s = self._controller.expected_wait_s(context.priority_rank)
-            if wait_s > WAIT_SHARE * context.objective_s:
-                detail = f"would wait {wait_s:.3f} s"
+            if wait_s > MAX_WAIT_SHARE * context.objective_s:
+                detail = f"expected wait {wait_s:.3f} s"
                 return not_run(Reason.QUEUE_FULL, retry_after_s=wait_s, detail=detail)
-        self._last += 1
-        ticket = self._last
+        self._last_ticket += 1
+        ticket = self._last_ticket
         item = Waiting(ticket, context, weight, context.depth)
         decisions = self._controller.offer(item, now)
-        self._settle(decisions)
+        self._apply_decisions(decisions)
         for decision in decisions:
             if decision.ticket == ticket:
                 return decision.refusal if isinstance(decision, Refuse) else ticket
@@ -87,29 +87,29 @@
             if self._waiting.pop(ticket, None) is None:
                 self.leave(ticket, Sample(0.0, cancelled=True), now)
             else:
-                self._settle(self._controller.withdraw(ticket, now))
+                self._apply_decisions(self._controller.withdraw(ticket, now))
             raise
         return ticket if refusal is None else refusal
 
     def leave(self, ticket: int, sample: Sample, now: float) -> None:
-        """Free the slot of a ticket."""
-        self._settle(self._controller.finish(ticket, sample, now))
+        """Release the slot of a ticket."""
+        self._apply_decisions(self._controller.finish(ticket, sample, now))
 
     def set_slots(self, slots: int, now: float) -> None:
-        """Change the number of calls at once."""
+        """Change the number of calls that may run at once."""
         self.slots = slots
-        self._settle(self._controller.set_slots(slots, now))
+        self._apply_decisions(self._controller.set_slots(slots, now))
 
-    async def keep_expiring(self, clock: Callable[[], float]) -> None:
-        """Refuse what has waited too long, until cancelled; idle while none waits."""
+    async def run_expiry(self, clock: Callable[[], float]) -> None:
+        """Refuse calls that wait too long, until cancelled; idle if none waits."""
         while True:
             await self._queued.wait()
-            await asyncio.sleep(EXPIRE_S)
-            self._settle(self._controller.expire(clock()))
+            await asyncio.sleep(EXPIRE_INTERVAL_S)
+            self._apply_decisions(self._controller.expire(clock()))
             if not self._waiting:
                 self._queued.clear()
 
-    def _settle(self, decisions: Sequence[Decision]) -> None:
+    def _apply_decisions(self, decisions: Sequence[Decision]) -> None:
         for decision in decisions:
             future = self._waiting.pop(decision.ticket, None)
             if future is None or future.done():
--- a/damaskbay/mesh/ingress.py
+++ b/damaskbay/mesh/ingress.py
@@ -1,4 +1,4 @@
-"""Serves callers: route, key, freshness, rate, early refusal, the answer."""
+"""Serves callers: routing, API keys, proof age, rate limits, refusals, dispatch."""
 
 import logging
 from collections.abc import Callable
@@ -30,18 +30,20 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-SAMPLED_ANSWERS = 50
-"""One whole answer in so many gets a log line; each failure asks for one."""
+RESPONSES_PER_LOG_LINE = 50
+"""One in this many successful responses is logged; every failed one is."""
+
 SERVICE_UNAVAILABLE = 503
 
 
 @dataclass(frozen=True, slots=True)
 class IngressOptions:
     """
-    What serving goes by; times in seconds.
+    Options of Ingress; times in seconds.
 
-    A keyed request is served only while the configuration was proven the newest
-    within `proof_valid_s`. `caller_name` is what servers are told of the origin.
+    A request with an API key is served only if the configuration was proven to be
+    the newest within `proof_valid_s`. `caller_name` is the name of the calling
+    service that is sent to backend servers.
     """
 
     caller_name: str
@@ -50,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IngressParts:
-    """What an ingress works with."""
+    """Dependencies of Ingress."""
 
     configuration: Configuration
     dispatcher: Dispatcher
@@ -65,86 +67,88 @@
 
 
 class Ingress:
-    """Serves the requests of one machine's callers and of its own server."""
+    """Serves the requests of local callers and of the local backend server."""
 
     def __init__(self, options: IngressOptions, parts: IngressParts) -> None:
         self._options = options
         self._parts = parts
         self._weights = WeightedChoice(parts.rng)
-        self._answers = 0
+        self._response_count = 0
         dialect = parts.dialect
         self._request_id = dialect.request_id.lower()
         self._key = dialect.key.lower()
         self._deadline_ms = dialect.deadline_ms.lower()
         self._sieve = HeaderSieve(
-            dropped=dialect.set_by_us
+            dropped=dialect.reserved_headers
             | {"host", "content-length", "expect", self._request_id},
             read=frozenset({self._request_id, self._key, self._deadline_ms}),
         )
-        self.under_way = 0
+        self.in_flight = 0
 
     def set_proof_valid(self, valid_s: float) -> None:
-        """Change how old the proof of the configuration may be."""
+        """Change the maximum age of the configuration proof, in seconds."""
         self._options = replace(self._options, proof_valid_s=valid_s)
 
     async def serve(self, arrival: Arrival) -> Answer:
-        """Serve one request to its end."""
-        self.under_way += 1
+        """Serve one request and return its response."""
+        self.in_flight += 1
         try:
             return await self._serve(arrival)
         finally:
-            self.under_way -= 1
+            self.in_flight -= 1
 
     async def _serve(self, arrival: Arrival) -> Answer:
         parts = self._parts
         request = arrival.request
-        passed_on, values = self._sieve.sift(request.headers)
+        forwarded_headers, values = self._sieve.sift(request.headers)
         request_id = values.get(self._request_id)
         config, routes = parts.configuration.config, parts.configuration.routes
         if config is None or routes is None:
             refusal = not_run(Reason.NO_CONFIGURATION, retry_after_s=NOT_READY_RETRY_S)
-            return self._turned_away(refusal, request_id, None, "")
+            return self._refuse(refusal, request_id, None, "")
         route = routes.match(request.host, request.target)
         if route is None:
-            return self._turned_away(not_run(Reason.NO_ROUTE), request_id, None, "")
+            return self._refuse(not_run(Reason.NO_ROUTE), request_id, None, "")
         workspace = self._workspace(config, route, values.get(self._key))
         if isinstance(workspace, Refusal):
-            return self._turned_away(workspace, request_id, route, "")
+            return self._refuse(workspace, request_id, route, "")
         if workspace is not None:
-            over = await self._over_rate(workspace, arrival.arrived_at)
-            if over is not None:
-                return self._turned_away(over, request_id, route, workspace.name)
+            over_limit = await self._spend_token(workspace, arrival.arrived_at)
+            if over_limit is not None:
+                return self._refuse(over_limit, request_id, route, workspace.name)
         caller = None if workspace else parts.running.caller_of(request_id)
-        limit_s = _limit_s(route, values.get(self._deadline_ms))
-        deadline = arrival.arrived_at + limit_s
+        timeout_s = _timeout_s(route, values.get(self._deadline_ms))
+        deadline = arrival.arrived_at + timeout_s
         context = self._context(config, route, workspace, deadline, request_id, caller)
         early = self._early_refusal(context, workspace)
         if early is not None:
-            return self._turned_away(early, request_id, route, context.workspace)
-        forwarded = self._forwarded(request, passed_on, workspace)
+            return self._refuse(early, request_id, route, context.workspace)
+        forwarded = self._forwarded_request(request, forwarded_headers, workspace)
         result = await parts.dispatcher.dispatch(context, route, forwarded)
-        self._ended(context, result, parts.clock() - arrival.arrived_at)
+        self._record_result(context, result, parts.clock() - arrival.arrived_at)
         if caller is not None:
             parts.running.nested_ended(caller, result, parts.clock())
         else:
             parts.pressure.heard(route.name, result.admission_level, parts.clock())
         outcome = result.result
         if isinstance(outcome, Refusal):
-            return self._refusal_answer(outcome, request_id, route)
+            return self._refusal_response(outcome, request_id, route)
         headers = outcome.headers
         if request_id is not None:
             headers = (*headers, (parts.dialect.request_id, request_id))
         return Answer(outcome.status, headers, outcome.body)
 
-    def _ended(self, context: CallContext, result: CallResult, took_s: float) -> None:
-        """Count a request that was sent; log a sample of the whole answers."""
+    def _record_result(
+        self, context: CallContext, result: CallResult, took_s: float
+    ) -> None:
+        """Record a dispatched call in metrics; log failures and some successes."""
         self._parts.telemetry.call_ended(context, result, took_s=took_s)
         outcome = result.result
         if not isinstance(outcome, Answer):
             return
         failed = outcome.status >= FIRST_SERVER_ERROR
-        self._answers += 1
-        if not failed and self._answers % SAMPLED_ANSWERS:
+        self._response_count += 1
+        if not failed and self._response_count % RESPONSES_PER_LOG_LINE:
             return
         _LOGGER.info(
             "ingress: request failed." if failed else "ingress: request answered.",
@@ -165,12 +169,12 @@
     def _workspace(
         self, config: ConfigSet, route: Route, secret: str | None
     ) -> Workspace | Refusal | None:
-        """Return whose request it is, None on a route that is open to all."""
+        """Return the workspace of the API key, a refusal, or None on an open route."""
         if route.access is Access.OPEN:
             return None
         if secret is None:
             return not_run(Reason.KEY_MISSING)
-        age_s = self._parts.configuration.age_s(self._parts.clock())
+        age_s = self._parts.configuration.proof_age_s(self._parts.clock())
         if age_s is None or age_s > self._options.proof_valid_s - REVOKE_MARGIN_S:
             detail = f"version {config.version}, proof age {age_s}"
             return not_run(
@@ -183,22 +187,22 @@
             return not_run(Reason.KEY_UNKNOWN)
         return config.workspaces_by_name[key.workspace]
 
-    async def _over_rate(self, workspace: Workspace, now: float) -> Refusal | None:
-        """Spend one token of the workspace's rate, or refuse."""
+    async def _spend_token(self, workspace: Workspace, now: float) -> Refusal | None:
+        """Spend a token of the workspace's rate limit, or return a refusal."""
         if is_pooled(workspace):
             return await self._parts.tokens.spend(workspace)
         return self._parts.shares.spend(workspace, now)
 
-    def _turned_away(
+    def _refuse(
         self,
         refusal: Refusal,
         request_id: str | None,
         route: Route | None,
         workspace: str,
     ) -> Answer:
-        """Count and answer a request that was sent to no server."""
+        """Record a request that is refused before dispatch, and return its response."""
         self._parts.telemetry.turned_away(workspace, refusal)
-        return self._refusal_answer(refusal, request_id, route)
+        return self._refusal_response(refusal, request_id, route)
 
     def _context(
         self,
@@ -210,18 +214,18 @@
         caller: RunningCall | None,
     ) -> CallContext:
         rank = self._parts.configuration.ranks.rank(route, workspace)
-        owner, depth = (workspace.name if workspace is not None else ""), 0
+        workspace_name, depth = (workspace.name if workspace is not None else ""), 0
         under_resent = False
         if caller is not None:
             rank = caller.context.priority_rank
-            owner = caller.context.workspace
+            workspace_name = caller.context.workspace
             depth = caller.context.depth + 1
             under_resent = caller.context.resent or caller.context.under_resent
         elif workspace is None:
             depth = 1
         return CallContext(
             call_id="",
-            workspace=owner,
+            workspace=workspace_name,
             priority_rank=rank,
             deadline=deadline,
             route=route.name,
@@ -237,7 +241,7 @@
     def _early_refusal(
         self, context: CallContext, workspace: Workspace | None
     ) -> Refusal | None:
-        """Refuse new work that something behind its route has no room for."""
+        """Return a refusal if servers behind the route shed calls of this priority."""
         if workspace is None:
             return None
         return self._parts.pressure.refusal(
@@ -248,19 +252,23 @@
             self._parts.clock(),
         )
 
-    def _forwarded(
+    def _forwarded_request(
         self, request: Request, headers: Headers, workspace: Workspace | None
     ) -> Request:
-        """Return the request as servers may see it: without the key."""
+        """Return the request for backend servers, without the API key."""
         dialect = self._parts.dialect
-        own: Headers = ((dialect.caller, self._options.caller_name),)
+        added: Headers = ((dialect.caller, self._options.caller_name),)
         if workspace is not None:
-            own = (*own, (dialect.workspace, workspace.name))
+            added = (*added, (dialect.workspace, workspace.name))
         return Request(
-            request.method, request.host, request.target, (*headers, *own), request.body
+            request.method,
+            request.host,
+            request.target,
+            (*headers, *added),
+            request.body,
         )
 
-    def _refusal_answer(
+    def _refusal_response(
         self, refusal: Refusal, request_id: str | None, route: Route | None
     ) -> Answer:
         status = status_of(refusal)
@@ -274,7 +282,9 @@
                 "request_id": request_id,
                 "route": route.name if route is not None else None,
                 "version": self._parts.configuration.version,
-                "proof_age_s": self._parts.configuration.age_s(self._parts.clock()),
+                "proof_age_s": self._parts.configuration.proof_age_s(
+                    self._parts.clock()
+                ),
                 "outcome": refusal.outcome.value,
                 "why": refusal.reason.value,
                 "detail": refusal.detail,
@@ -290,8 +300,8 @@
         return Answer(status, headers, b"")
 
 
-def _limit_s(route: Route, said_ms: str | None) -> float:
-    """Return how long a request may take: the route's limit or the caller's."""
-    if said_ms is None or not said_ms.isdigit():
+def _timeout_s(route: Route, requested_ms: str | None) -> float:
+    """Return the lower of the route's and the caller's timeout, in seconds."""
+    if requested_ms is None or not requested_ms.isdigit():
         return route.deadline_s
-    return min(route.deadline_s, int(said_ms) / 1000.0)
+    return min(route.deadline_s, int(requested_ms) / 1000.0)
--- a/damaskbay/mesh/messages.py
+++ b/damaskbay/mesh/messages.py
@@ -76,7 +76,7 @@
 
 @message("mesh.domain_wanted")
 @dataclass(frozen=True, slots=True)
-class DomainWanted:
+class DomainDemandRequest:
     """
     Ask a relay of another domain for the demand on its domain.
 
@@ -92,7 +92,7 @@
 
 @message("mesh.token_wanted")
 @dataclass(frozen=True, slots=True)
-class TokenWanted:
+class TokenRequest:
     """Ask for one token of a small workspace; `hops` daemons have passed this on."""
 
     workspace: str
--- a/damaskbay/mesh/neighbours.py
+++ b/damaskbay/mesh/neighbours.py
@@ -5,9 +5,9 @@
 
 from damaskbay.core.dissemination.order import rank
 from damaskbay.mesh.const import (
-    FAR_LINKS_PER_POOL,
-    NEAR_LINKS_PER_POOL,
+    LOCAL_LINKS_PER_POOL,
     RELAYS_PER_DOMAIN,
+    REMOTE_LINKS_PER_POOL,
 )
 from damaskbay.mesh.directory import MemberRecord
 
@@ -36,7 +36,7 @@
     others = [record for record in records if record.instance != own.instance]
     wanted: set[str] = set()
     for (_, near), servers in _by_pool(others, own.failure_domain).items():
-        most = NEAR_LINKS_PER_POOL if near else FAR_LINKS_PER_POOL
+        most = LOCAL_LINKS_PER_POOL if near else REMOTE_LINKS_PER_POOL
         wanted.update(item.instance for item in rank(servers, own.instance)[:most])
     everyone = [*others, own]
     for domain in {record.failure_domain for record in everyone}:
--- a/damaskbay/mesh/observing.py
+++ b/damaskbay/mesh/observing.py
@@ -64,5 +64,5 @@
         gauge("links_up", "Opened to peers", lambda: parts.links.up_count)
 
     def _proof_age_s(self) -> float:
-        age_s = self._parts.configuration.age_s(self._parts.clock())
+        age_s = self._parts.configuration.proof_age_s(self._parts.clock())
         return NO_PROOF if age_s is None else age_s
--- a/damaskbay/mesh/running.py
+++ b/damaskbay/mesh/running.py
@@ -1,4 +1,4 @@
-"""Calls that run at the local server, found again by the calls they make."""
+"""Calls that run at the local server, by the ids of their nested calls."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 from damaskbay.core.pressure import PathLevels
 
 SEPARATOR = "."
-"""Between the id of a call and what its nested calls add to it."""
+"""Separates the request id of a call from the suffix of its nested calls."""
 
 
 @dataclass(slots=True, eq=False)
 class RunningCall:
-    """A call at the server; `nested_failed` once a call that it made has failed."""
+    """A running call; `nested_failed` is set once a nested call of it has failed."""
 
     context: CallContext
     nested_failed: bool = False
@@ -22,40 +22,40 @@
     """
     The running calls by request id.
 
-    A nested call whose id begins with that of a running call belongs to it. That
-    is a hint only: it lends a call its root's importance, never any right.
+    A nested call belongs to the running call whose id is a prefix of its id. Callers
+    choose ids, so this gives the call its root's priority but never any access.
     """
 
     def __init__(self) -> None:
         self._by_request_id: dict[str, RunningCall] = {}
         self._levels = PathLevels()
 
-    def open(self, context: CallContext) -> RunningCall:
-        """Enter a call that is sent to the server."""
+    def add(self, context: CallContext) -> RunningCall:
+        """Add a call that is sent to the server."""
         call = RunningCall(context)
         if context.request_id is not None:
             self._by_request_id[context.request_id] = call
         return call
 
-    def close(self, call: RunningCall) -> None:
-        """Take a call out that has ended."""
+    def remove(self, call: RunningCall) -> None:
+        """Remove a call that has ended."""
         request_id = call.context.request_id
         if request_id is not None and self._by_request_id.get(request_id) is call:
             del self._by_request_id[request_id]
 
     def nested_ended(self, call: RunningCall, result: CallResult, now: float) -> None:
-        """Take what came back on a call that a running call made."""
+        """Record the result of a nested call of a running call."""
         outcome = result.result
         if not isinstance(outcome, Answer) or outcome.status >= FIRST_SERVER_ERROR:
             call.nested_failed = True
         self._levels.heard(call.context.route, result.admission_level, now)
 
     def level(self, route: str, own: int, now: float) -> int:
-        """Return the level to put on answers of a route: what its calls meet, too."""
+        """Return the lower of `own` and the level that the route's nested calls met."""
         return min(own, self._levels.level(route, now))
 
     def caller_of(self, request_id: str | None) -> RunningCall | None:
-        """Return the running call that made a call, None where it is not known."""
+        """Return the running call that made a nested call, None if it is unknown."""
         if request_id is None:
             return None
         end = request_id.rfind(SEPARATOR)
--- a/damaskbay/mesh/stopping.py
+++ b/damaskbay/mesh/stopping.py
@@ -7,7 +7,11 @@
 from damaskbay.adapters.http1.server import HttpServer
 from damaskbay.adapters.peer_link.client import PeerLinks
 from damaskbay.helpers.clock import monotonic_s
-from damaskbay.mesh.const import DRAIN_READY_S, DRAIN_READY_SHARE, STOP_MARGIN_S
+from damaskbay.mesh.const import (
+    SERVE_AFTER_SIGTERM_S,
+    SERVE_AFTER_SIGTERM_SHARE,
+    STOP_MARGIN_S,
+)
 from damaskbay.mesh.ingress import Ingress
 from damaskbay.mesh.target import Target
 
@@ -39,7 +43,7 @@
         end = began + grace_s - STOP_MARGIN_S
         _LOGGER.info("daemon: graceful stop begins.")
         self.callers.draining = True
-        ready_s = min(DRAIN_READY_S, DRAIN_READY_SHARE * grace_s)
+        ready_s = min(SERVE_AFTER_SIGTERM_S, SERVE_AFTER_SIGTERM_SHARE * grace_s)
         while monotonic_s() < began + ready_s:
             await asyncio.sleep(POLL_S)
         self.target.draining = True
@@ -48,7 +52,7 @@
         self.callers.close_idle()
         closing_at = end - LAST_CALLS_SHARE * (end - monotonic_s())
         while monotonic_s() < end and self._busy():
-            if monotonic_s() >= closing_at and not self.target.under_way:
+            if monotonic_s() >= closing_at and not self.target.in_flight:
                 break
             await asyncio.sleep(POLL_S)
             self.callers.close_idle()
@@ -61,12 +65,12 @@
         _LOGGER.info(
             "daemon: graceful stop ends.",
             extra={
-                "callers": self.ingress.under_way,
-                "at_server": self.target.under_way,
+                "callers": self.ingress.in_flight,
+                "at_server": self.target.in_flight,
             },
         )
 
     def _busy(self) -> bool:
         return bool(
-            self.ingress.under_way or self.target.under_way or self.callers.under_way
+            self.ingress.in_flight or self.target.in_flight or self.callers.under_way
         )
--- a/damaskbay/mesh/target.py
+++ b/damaskbay/mesh/target.py
@@ -1,4 +1,4 @@
-"""Runs calls at the backend server beside this daemon."""
+"""Runs calls at the local backend server."""
 
 import logging
 import math
@@ -17,7 +17,7 @@
 from damaskbay.core.outcome import Reason, Refusal, not_run, unknown
 from damaskbay.core.retry.repeats import RepeatBudget
 from damaskbay.helpers.http_headers import HeaderSieve
-from damaskbay.mesh.const import NOT_READY_RETRY_S, UNREACHABLE_S
+from damaskbay.mesh.const import NOT_READY_RETRY_S, UNREACHABLE_BACKOFF_S
 from damaskbay.mesh.dialect import Dialect
 from damaskbay.mesh.gate import Gate
 from damaskbay.mesh.local_server import LocalServer
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetParts:
-    """What a target works with. `weight_of` is a workspace's weight."""
+    """Dependencies of Target; `weight_of` returns the weight of a workspace."""
 
     instance: str
     pool: str
@@ -47,65 +47,67 @@
 
 
 class Target:
-    """The only sender to the local server, so it alone counts its slots."""
+    """The only sender to the local server, so it alone counts the slots in use."""
 
     def __init__(self, parts: TargetParts) -> None:
         self._parts = parts
         self._unreachable_until = 0.0
-        self._not_run = parts.dialect.not_run.lower()
-        self._stamp = parts.dialect.stamp.lower()
+        self._not_run_header = parts.dialect.not_run.lower()
+        self._stamp_header = parts.dialect.stamp.lower()
         self._sieve = HeaderSieve(
             dropped=frozenset({parts.dialect.request_id.lower(), "content-length"}),
-            read=frozenset({self._not_run, self._stamp}),
+            read=frozenset({self._not_run_header, self._stamp_header}),
         )
-        self.under_way = 0
+        self.in_flight = 0
         self.draining = False
 
     async def run(self, context: CallContext, request: Request) -> CallResult:
-        """Run a call; cancelling closes its connection to the server."""
-        self.under_way += 1
+        """Run a call; cancellation closes its connection to the server."""
+        self.in_flight += 1
         try:
             return await self._run(context, request)
         finally:
-            self.under_way -= 1
+            self.in_flight -= 1
 
     async def _run(self, context: CallContext, request: Request) -> CallResult:
         parts = self._parts
         now = parts.clock()
-        refusal = self._refusal(context, now)
+        refusal = self._refusal_before_queue(context, now)
         if refusal is not None:
-            return self._refused(context, refusal, now)
+            return self._refused_result(context, refusal, now)
         if context.resent and not parts.repeats.repeat(nested=context.depth > 0):
             refusal = not_run(Reason.RETRY_BUDGET_SPENT)
-            return self._refused(context, refusal, now)
-        entered = await parts.gate.enter(
+            return self._refused_result(context, refusal, now)
+        admitted = await parts.gate.enter(
             context, parts.weight_of(context.workspace), now
         )
         waited_s, now = parts.clock() - now, parts.clock()
         parts.telemetry.queue_waited(context, waited_s)
-        if isinstance(entered, Refusal):
-            return self._refused(context, entered, now)
+        if isinstance(admitted, Refusal):
+            return self._refused_result(context, admitted, now)
         sample = Sample(0.0, cancelled=True)
-        call = parts.running.open(context)
+        call = parts.running.add(context)
         try:
             refusal = self._refusal_at_send(context, now)
             if refusal is not None:
-                return self._refused(context, refusal, now)
-            self._count(context)
+                return self._refused_result(context, refusal, now)
+            self._count_attempt(context)
             outcome = await self._send(context, request)
             took_s = parts.clock() - now
             sample = Sample(took_s, succeeded=_succeeded(outcome))
         finally:
-            parts.running.close(call)
-            parts.gate.leave(entered, sample, parts.clock())
-        attempts = 0 if _unsent(outcome) else 1
+            parts.running.remove(call)
+            parts.gate.leave(admitted, sample, parts.clock())
+        attempts = 0 if _never_sent(outcome) else 1
         return self._result(outcome, attempts, took_s, call)
 
-    def _refusal(self, context: CallContext, now: float) -> Refusal | None:
-        """Refuse what can't run here; the sender asks another daemon."""
+    def _refusal_before_queue(self, context: CallContext, now: float) -> Refusal | None:
+        """Return a refusal if the call can't run here; senders try another daemon."""
         parts = self._parts
         if context.pool != parts.pool:
-            return not_run(Reason.NO_BACKEND_SERVER, detail="another pool runs here")
+            return not_run(
+                Reason.NO_BACKEND_SERVER, detail="daemon serves another pool"
+            )
         if self.draining:
             return not_run(Reason.SHUTTING_DOWN, retry_after_s=NOT_READY_RETRY_S)
         if parts.local.state is ServerState.STARTING:
@@ -120,8 +122,8 @@
             )
         return None
 
-    def _count(self, context: CallContext) -> None:
-        """Count a send against the budget of repeats."""
+    def _count_attempt(self, context: CallContext) -> None:
+        """Credit a first attempt to the retry budget."""
         if context.resent:
             return
         if context.under_resent:
@@ -139,46 +141,46 @@
         return None
 
     async def _send(self, context: CallContext, request: Request) -> Answer | Refusal:
-        """Send once; again only where a kept connection turned out to be closed."""
-        outcome = await self._exchange(context, request, context.idempotent)
+        """Send once; retry only if a reused connection turned out to be closed."""
+        outcome = await self._send_once(context, request, context.idempotent)
         if (
             isinstance(outcome, HttpFailure)
             and outcome.problem is HttpProblem.STALE
             and context.idempotent
         ):
-            outcome = await self._exchange(context, request, False)
+            outcome = await self._send_once(context, request, False)
         if isinstance(outcome, HttpFailure):
             if outcome.problem is HttpProblem.TIMED_OUT:
                 return unknown(Reason.DEADLINE_PASSED)
-            return self._failed(context, outcome)
-        return self._judged(context, outcome)
+            return self._handle_failure(context, outcome)
+        return self._classify_response(context, outcome)
 
-    async def _exchange(
-        self, context: CallContext, request: Request, kept: bool
+    async def _send_once(
+        self, context: CallContext, request: Request, reuse_connection: bool
     ) -> Answer | HttpFailure:
         parts = self._parts
         left_s = context.deadline - parts.clock()
         left_ms = math.floor(left_s * 1000.0)
-        named: Headers = ()
+        id_headers: Headers = ()
         if context.request_id is not None:
-            named = ((parts.dialect.request_id, context.request_id),)
+            id_headers = ((parts.dialect.request_id, context.request_id),)
         headers: Headers = (
             *request.headers,
-            *named,
+            *id_headers,
             (parts.dialect.deadline_ms, str(max(1, left_ms))),
             (parts.dialect.expected_server, parts.local.server),
         )
-        sent = Request(
+        forwarded = Request(
             request.method, request.host, request.target, headers, request.body
         )
         return await parts.client.send(
-            sent,
+            forwarded,
             echo=context.request_id,
-            fresh=not kept,
+            fresh=not reuse_connection,
             timeout_s=max(0.0, left_s),
         )
 
-    def _failed(self, context: CallContext, failure: HttpFailure) -> Refusal:
+    def _handle_failure(self, context: CallContext, failure: HttpFailure) -> Refusal:
         detail = f"{failure.problem.value}: {failure.detail}"
         _LOGGER.warning(
             "target: server gave no answer.",
@@ -191,7 +193,7 @@
             },
         )
         if failure.problem is HttpProblem.NOT_SENT:
-            self._unreachable_until = self._parts.clock() + UNREACHABLE_S
+            self._unreachable_until = self._parts.clock() + UNREACHABLE_BACKOFF_S
             return not_run(
                 Reason.BACKEND_SERVER_FAILED,
                 retry_after_s=NOT_READY_RETRY_S,
@@ -201,18 +203,23 @@
             return unknown(Reason.ANSWER_INCOMPLETE, detail=detail)
         return unknown(Reason.BACKEND_SERVER_FAILED, detail=detail)
 
-    def _judged(self, context: CallContext, answer: Answer) -> Answer | Refusal:
-        """Tell a server's refusals from its answers."""
+    def _classify_response(
+        self, context: CallContext, response: Answer
+    ) -> Answer | Refusal:
+        """Return the response without internal headers, or a refusal made from it."""
         dialect = self._parts.dialect
-        headers, values = self._sieve.sift(answer.headers)
-        if self._not_run in values or answer.status in dialect.not_run_statuses:
+        headers, values = self._sieve.sift(response.headers)
+        if (
+            self._not_run_header in values
+            or response.status in dialect.not_run_statuses
+        ):
             _LOGGER.info(
                 "target: server refused.",
                 extra={
                     "request_id": context.request_id,
                     "route": context.route,
                     "why": "not run",
-                    "status": answer.status,
+                    "status": response.status,
                     "server": self._parts.local.server,
                     "running": self._parts.gate.running,
                 },
@@ -220,13 +227,15 @@
             return not_run(
                 Reason.OVERLOADED,
                 retry_after_s=NOT_READY_RETRY_S,
-                detail=f"server refused with {answer.status}",
+                detail=f"server refused with status {response.status}",
+            )
+        if response.status < FIRST_REDIRECT and self._stamp_header not in values:
+            return unknown(
+                Reason.ANSWER_INCOMPLETE, detail="server stamp header is missing"
             )
-        if answer.status < FIRST_REDIRECT and self._stamp not in values:
-            return unknown(Reason.ANSWER_INCOMPLETE, detail="no stamp")
-        return Answer(answer.status, headers, answer.body)
+        return Answer(response.status, headers, response.body)
 
-    def _refused(
+    def _refused_result(
         self, context: CallContext, refusal: Refusal, now: float
     ) -> CallResult:
         _LOGGER.info(
@@ -269,8 +278,8 @@
     return isinstance(outcome, Answer) and outcome.status < FIRST_SERVER_ERROR
 
 
-def _unsent(outcome: Answer | Refusal) -> bool:
-    """Tell whether nothing arrived at the server."""
+def _never_sent(outcome: Answer | Refusal) -> bool:
+    """Return whether the call certainly did not reach the server."""
     return (
         isinstance(outcome, Refusal)
         and outcome.reason is Reason.BACKEND_SERVER_FAILED
--- a/damaskbay/mesh/tokens.py
+++ b/damaskbay/mesh/tokens.py
@@ -1,4 +1,4 @@
-"""Gets the tokens of small workspaces from the daemon that holds them."""
+"""Obtains rate limit tokens of small workspaces from the daemon that holds them."""
 
 import logging
 from collections.abc import Callable
@@ -10,24 +10,24 @@
 from damaskbay.core.quota.token_pool import Grant, TokenPool
 from damaskbay.mesh.configuration import Configuration
 from damaskbay.mesh.const import (
-    HOLDER_SILENT_S,
+    HOLDER_BACKOFF_S,
     NOT_READY_RETRY_S,
     TOKEN_MAX_HOPS,
     TOKEN_TIMEOUT_S,
 )
 from damaskbay.mesh.directory import MemberRecord
 from damaskbay.mesh.exchange import Exchange
-from damaskbay.mesh.messages import TokenWanted
+from damaskbay.mesh.messages import TokenRequest
 
 _LOGGER = logging.getLogger(__name__)
 
-_UNKNOWN = Grant(False, NOT_READY_RETRY_S, NOT_READY_RETRY_S)
-"""The answer where no holder could be asked, or the set here has no such one."""
+_NO_GRANT = Grant(False, NOT_READY_RETRY_S, NOT_READY_RETRY_S)
+"""The grant when no holder replied, or the workspace is not in the active set."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Spent:
-    """Until when nobody need be asked, and what to tell callers meanwhile."""
+class _Exhausted:
+    """A workspace without tokens: when to request again, and callers' retry delay."""
 
     until: float
     wait_s: float
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenParts:
-    """What getting tokens works with."""
+    """Dependencies of PooledTokens."""
 
     instance: str
     failure_domain: str
@@ -50,71 +50,78 @@
     """
     Spends tokens of small workspaces, one at a time.
 
-    They are at the relay of the workspace's home domain. Who can't reach that one
-    asks the relay of the own domain, which may reach it, or goes on alone.
+    The relay of the workspace's home domain holds the tokens. A daemon that can't
+    reach it sends the request to the relay of its local domain, which forwards it
+    to the home domain if it can and otherwise grants tokens itself.
     """
 
     def __init__(self, parts: TokenParts) -> None:
         self._parts = parts
-        self._spent: dict[str, _Spent] = {}
-        self._silent_until: dict[str, float] = {}
+        self._exhausted: dict[str, _Exhausted] = {}
+        self._backoff_until: dict[str, float] = {}
 
     async def spend(self, workspace: Workspace) -> Refusal | None:
-        """Spend one token, or refuse and tell when there may be one."""
+        """Spend one token, or return a refusal with a retry delay."""
         now = self._parts.clock()
-        spent = self._spent.get(workspace.name)
-        if spent is None or spent.until <= now:
-            grant = await self._get(workspace, 0)
+        exhausted = self._exhausted.get(workspace.name)
+        if exhausted is None or exhausted.until <= now:
+            grant = await self._obtain(workspace, 0)
             if grant.granted:
                 return None
-            spent = _Spent(self._parts.clock() + grant.next_s, grant.wait_s)
-            self._spent[workspace.name] = spent
-        wait_s = max(0.001, spent.wait_s)
+            exhausted = _Exhausted(self._parts.clock() + grant.next_s, grant.wait_s)
+            self._exhausted[workspace.name] = exhausted
+        wait_s = max(0.001, exhausted.wait_s)
         pool = self._parts.pool
         home = pool.home(workspace.name)
         detail = f"pooled at {home}, of {workspace.rate_per_s:g}/s"
         return not_run(Reason.RATE_EXCEEDED, retry_after_s=wait_s, detail=detail)
 
-    async def wanted(self, message: TokenWanted) -> Grant:
-        """Answer another daemon."""
+    async def handle_request(self, message: TokenRequest) -> Grant:
+        """Return the grant for a request of a peer."""
         config = self._parts.configuration.config
         workspaces = config.workspaces_by_name if config is not None else {}
         workspace = workspaces.get(message.workspace)
         if workspace is None:
-            return _UNKNOWN
-        return await self._get(workspace, message.hops)
+            return _NO_GRANT
+        return await self._obtain(workspace, message.hops)
 
-    async def _get(self, workspace: Workspace, hops: int) -> Grant:
+    async def _obtain(self, workspace: Workspace, hops: int) -> Grant:
         parts = self._parts
-        if not parts.exchange.counting or hops > TOKEN_MAX_HOPS:
-            return _UNKNOWN
+        if not parts.exchange.fleet_known or hops > TOKEN_MAX_HOPS:
+            return _NO_GRANT
         home = parts.pool.home(workspace.name)
         if home != parts.failure_domain:
-            answer = await self._ask(home, workspace, hops)
-            if answer is not None:
-                return answer
-        if parts.exchange.relaying:
+            grant = await self._request_token(home, workspace, hops)
+            if grant is not None:
+                return grant
+        if parts.exchange.is_relay:
             return parts.pool.grant(workspace, parts.clock())
-        answer = await self._ask(parts.failure_domain, workspace, hops)
-        return answer or _UNKNOWN
+        grant = await self._request_token(parts.failure_domain, workspace, hops)
+        return grant or _NO_GRANT
 
-    async def _ask(self, domain: str, workspace: Workspace, hops: int) -> Grant | None:
-        """Ask the first relay of a domain that is reached; None without an answer."""
+    async def _request_token(
+        self, domain: str, workspace: Workspace, hops: int
+    ) -> Grant | None:
+        """Request a token from a domain's first usable relay; None without a reply."""
         parts, now = self._parts, self._parts.clock()
         holder = next(
-            (item for item in parts.exchange.relays(domain) if self._open(item, now)),
+            (
+                record
+                for record in parts.exchange.relays(domain)
+                if self._is_usable(record, now)
+            ),
             None,
         )
         if holder is None:
             return None
         reply = await parts.links.request(
             holder.address,
-            TokenWanted(workspace.name, hops + 1),
+            TokenRequest(workspace.name, hops + 1),
             timeout_s=TOKEN_TIMEOUT_S,
         )
         if isinstance(reply, Grant):
             return reply
-        self._silent_until[holder.instance] = parts.clock() + HOLDER_SILENT_S
+        self._backoff_until[holder.instance] = parts.clock() + HOLDER_BACKOFF_S
         _LOGGER.info(
             "tokens: holder does not answer.",
             extra={
@@ -125,10 +132,10 @@
         )
         return None
 
-    def _open(self, record: MemberRecord, now: float) -> bool:
+    def _is_usable(self, record: MemberRecord, now: float) -> bool:
         parts = self._parts
         return (
             record.instance != parts.instance
-            and self._silent_until.get(record.instance, 0.0) <= now
+            and self._backoff_until.get(record.instance, 0.0) <= now
             and parts.links.up(record.address)
         )
--- a/tests/mesh/test_exchange.py
+++ b/tests/mesh/test_exchange.py
@@ -1,4 +1,4 @@
-"""Reports to a relay, and relaying, without sockets."""
+"""Reports to a relay, and is_relay, without sockets."""
 
 import asyncio
 import unittest
@@ -12,7 +12,7 @@
 from damaskbay.mesh.configuration import Configuration
 from damaskbay.mesh.directory import Directory, MemberRecord
 from damaskbay.mesh.exchange import Exchange, ExchangeParts
-from damaskbay.mesh.messages import DemandReport, DomainWanted, FleetState
+from damaskbay.mesh.messages import DemandReport, DomainDemandRequest, FleetState
 from damaskbay.mesh.neighbours import relay_order
 from damaskbay.ports.fleet import ServerState
 from damaskbay.ports.peer import PeerAddress, PeerFailure, PeerProblem
@@ -49,10 +49,10 @@
         if peer in self.down:
             return PeerFailure(PeerProblem.NOT_SENT)
         exchange = self.by_address[peer]
-        if isinstance(message, DomainWanted):
+        if isinstance(message, DomainDemandRequest):
             return exchange.domain_demand(message)
         assert isinstance(message, DemandReport)
-        answer = exchange.state(message)
+        answer = exchange.handle_report(message)
         self.clock.now += self.delay_s
         return answer
 
@@ -63,7 +63,7 @@
     ) -> None:
         self.record = record
         self.configuration = Configuration()
-        self.configuration.take(ConfigSet(3, "d"), b"", "test")
+        self.configuration.activate(ConfigSet(3, "d"), b"", "test")
         self.asked: list[PeerAddress] = []
         self.known = True
         self.shares = DemandShares(QuotaOptions())
@@ -81,7 +81,7 @@
                 pool=DemandPool(record.failure_domain),
                 tokens=self.tokens,
                 configuration=self.configuration,
-                ask=self.asked.append,
+                fetch_config=self.asked.append,
                 members_known=lambda: self.known,
                 clock=network.clock,
             )
@@ -120,26 +120,26 @@
     (first, second, third), network = _fleet(3)
     for daemon in (first, second, third):
         daemon.round()
-    assert first.exchange.relaying
-    assert not second.exchange.relaying
+    assert first.exchange.is_relay
+    assert not second.exchange.is_relay
     network.down.add(first.record.address)
     second.round()
     third.round()
-    assert second.exchange.relaying
-    assert not third.exchange.relaying
+    assert second.exchange.is_relay
+    assert not third.exchange.is_relay
     network.down.clear()
     second.round()
-    assert not second.exchange.relaying
+    assert not second.exchange.is_relay
 
 
 def test_a_relayed_proof_is_dated_from_the_report() -> None:
     """An answer that was held up on its way makes the proof older, not younger."""
     (relay, other), network = _fleet(2)
     relay.round()
-    relay.configuration.prove(3, 99.5)
+    relay.configuration.record_proof(3, 99.5)
     network.delay_s = 6.0
     other.round()
-    age_s = other.configuration.age_s(network.clock.now)
+    age_s = other.configuration.proof_age_s(network.clock.now)
     assert age_s is not None
     assert abs(age_s - 6.5) < 1e-9
 
@@ -148,21 +148,21 @@
     """It is fetched at once, and proves nothing of the present one."""
     (relay, other), _ = _fleet(2)
     relay.round()
-    relay.configuration.take(ConfigSet(4, "e"), b"", "test")
-    relay.configuration.prove(4, 100.0)
+    relay.configuration.activate(ConfigSet(4, "e"), b"", "test")
+    relay.configuration.record_proof(4, 100.0)
     other.round()
     assert other.asked == [relay.record.address]
-    assert other.configuration.age_s(100.0) is None
+    assert other.configuration.proof_age_s(100.0) is None
 
 
 def test_a_relay_that_does_not_know_the_fleet_gives_no_share() -> None:
     """It may have just started: its few reports are not the whole demand."""
     (relay, other), _ = _fleet(2)
     relay.known = False
-    state = relay.exchange.state(DemandReport("d1", {"w": 5.0}))
+    state = relay.exchange.handle_report(DemandReport("d1", {"w": 5.0}))
     assert isinstance(state, FleetState)
     assert state.daemons == 0
-    wanted = DomainWanted("domain1", 1, 0.0, ("domain0", "domain1"))
+    wanted = DomainDemandRequest("domain1", 1, 0.0, ("domain0", "domain1"))
     assert relay.exchange.domain_demand(wanted) == DomainTotal({}, 0, 0)
     other.exchange.members_changed()
     before = other.shares.share("w")
@@ -199,7 +199,7 @@
 
 
 class _Silent:
-    def state(self, _report: DemandReport) -> PeerFailure:
+    def handle_report(self, _report: DemandReport) -> PeerFailure:
         return PeerFailure(PeerProblem.TIMEOUT)
 
 
--- a/tests/mesh/test_fleet.py
+++ b/tests/mesh/test_fleet.py
@@ -140,7 +140,7 @@
         await made.publish(keys=("k1", "k2"))
         await until(lambda: lonely.configuration.version == 2)
         await asyncio.sleep(3.0)
-        age_s = lonely.configuration.age_s(asyncio.get_running_loop().time())
+        age_s = lonely.configuration.proof_age_s(asyncio.get_running_loop().time())
         assert age_s is not None
         assert (await made.nodes["b"].request("/safe/", key="k2")).status == 200
 
--- a/tests/mesh/test_gate.py
+++ b/tests/mesh/test_gate.py
@@ -27,7 +27,7 @@
 
     async def enter_twice() -> tuple[int | Refusal, int | Refusal, Gate]:
         gate = Gate(1, Random(1), monotonic_s())
-        expiring = asyncio.create_task(gate.keep_expiring(monotonic_s))
+        expiring = asyncio.create_task(gate.run_expiry(monotonic_s))
         first = await gate.enter(_context(WAIT_S), 1.0, monotonic_s())
         async with asyncio.timeout(WAIT_S):
             second = await gate.enter(_context(left_s), 1.0, monotonic_s())
--- a/tests/mesh/test_neighbours.py
+++ b/tests/mesh/test_neighbours.py
@@ -4,9 +4,9 @@
 from collections import Counter
 
 from damaskbay.mesh.const import (
-    FAR_LINKS_PER_POOL,
-    NEAR_LINKS_PER_POOL,
+    LOCAL_LINKS_PER_POOL,
     RELAYS_PER_DOMAIN,
+    REMOTE_LINKS_PER_POOL,
 )
 from damaskbay.mesh.directory import MemberRecord
 from damaskbay.mesh.neighbours import relay_order, wanted_neighbours
@@ -48,7 +48,7 @@
         for domain in DOMAINS
         for record in relay_order(records, domain)[:RELAYS_PER_DOMAIN]
     }
-    most = len(POOLS) * (NEAR_LINKS_PER_POOL + FAR_LINKS_PER_POOL) + len(relays)
+    most = len(POOLS) * (LOCAL_LINKS_PER_POOL + REMOTE_LINKS_PER_POOL) + len(relays)
     by_instance = {record.instance: record for record in records}
     callers: Counter[str] = Counter()
     for own in records:
--- a/tests/mesh/test_parts.py
+++ b/tests/mesh/test_parts.py
@@ -159,20 +159,20 @@
 def test_a_set_never_goes_back() -> None:
     """A lower version is not taken, and a proof counts for its version only."""
     configuration = Configuration()
-    assert configuration.take(ConfigSet(5, "a"), b"5", "store")
-    assert not configuration.take(ConfigSet(4, "b"), b"4", "peer")
+    assert configuration.activate(ConfigSet(5, "a"), b"5", "store")
+    assert not configuration.activate(ConfigSet(4, "b"), b"4", "peer")
     assert configuration.version == 5
-    configuration.prove(4, 10.0)
-    assert configuration.age_s(11.0) is None
-    configuration.prove(5, 10.0)
-    configuration.prove(5, 9.0)
-    assert configuration.age_s(11.0) == 1.0
+    configuration.record_proof(4, 10.0)
+    assert configuration.proof_age_s(11.0) is None
+    configuration.record_proof(5, 10.0)
+    configuration.record_proof(5, 9.0)
+    assert configuration.proof_age_s(11.0) == 1.0
 
 
 def test_calls_are_found_again_by_the_ids_of_what_they_call() -> None:
     """The longest running id before a separator is the caller's."""
     running = RunningCalls()
-    call = running.open(CONTEXT)
+    call = running.add(CONTEXT)
     assert running.caller_of("a1.b2") is call
     assert running.caller_of("a1.b2.c3") is call
     assert running.caller_of("a1") is None
@@ -181,7 +181,7 @@
     running.nested_ended(call, CallResult(Answer(503), admission_level=500), 0.0)
     assert call.nested_failed
     assert running.level("r", 9000, 0.1) == 500
-    running.close(call)
+    running.remove(call)
     assert running.caller_of("a1.b2") is None
 
 
--- a/tests/mesh/test_stopping.py
+++ b/tests/mesh/test_stopping.py
@@ -22,9 +22,9 @@
 REQUEST = Request("GET", "h", "/")
 
 
-def _stop(server: HttpServer, under_way: int) -> GracefulStop:
-    parts: Any = SimpleNamespace(under_way=0, draining=False)
-    target: Any = SimpleNamespace(under_way=under_way, draining=False)
+def _stop(server: HttpServer, in_flight: int) -> GracefulStop:
+    parts: Any = SimpleNamespace(in_flight=0, draining=False)
+    target: Any = SimpleNamespace(in_flight=in_flight, draining=False)
     links: Any = SimpleNamespace(tell_all=lambda: None)
     return GracefulStop(server, parts, target, links)
 
@@ -90,7 +90,7 @@
             stopping = asyncio.create_task(stop.run(GRACE_S))
             await asyncio.sleep(0.5 * GRACE_S)
             assert cast("Answer", await _ask(s)).status == 200
-            stop.target.under_way = 0
+            stop.target.in_flight = 0
             await stopping
 
     asyncio.run(play())
--- a/tests/mesh/test_tokens.py
+++ b/tests/mesh/test_tokens.py
@@ -10,9 +10,9 @@
 from damaskbay.core.quota.shares import QuotaOptions
 from damaskbay.core.quota.token_pool import Grant, TokenPool
 from damaskbay.mesh.configuration import Configuration
-from damaskbay.mesh.const import HOLDER_SILENT_S, TOKEN_MAX_HOPS
+from damaskbay.mesh.const import HOLDER_BACKOFF_S, TOKEN_MAX_HOPS
 from damaskbay.mesh.directory import MemberRecord
-from damaskbay.mesh.messages import TokenWanted
+from damaskbay.mesh.messages import TokenRequest
 from damaskbay.mesh.tokens import PooledTokens, TokenParts
 from damaskbay.ports.fleet import ServerState
 from damaskbay.ports.peer import PeerAddress, PeerFailure, PeerProblem
@@ -37,7 +37,7 @@
 class _Daemon:
     """A daemon whose questions are written down; `replies` by the one asked."""
 
-    def __init__(self, instance: str, domain: str, *, relaying: bool) -> None:
+    def __init__(self, instance: str, domain: str, *, is_relay: bool) -> None:
         self.now = 100.0
         self.asked: list[tuple[str, int]] = []
         self.replies: dict[str, Any] = {}
@@ -54,9 +54,9 @@
         configuration = Configuration()
         workspaces = {WORKSPACE.name: WORKSPACE}
         config = ConfigSet(1, "d", workspaces_by_name=workspaces)
-        configuration.take(config, b"", "test")
+        configuration.activate(config, b"", "test")
         exchange: Any = SimpleNamespace(
-            counting=True, relaying=relaying, relays=lambda name: relays[name]
+            fleet_known=True, is_relay=is_relay, relays=lambda name: relays[name]
         )
         links: Any = SimpleNamespace(up=lambda _: True, request=self._request)
         self.tokens = PooledTokens(
@@ -82,7 +82,7 @@
 
 def test_the_relay_of_the_home_is_asked() -> None:
     """One question, to the first relay of the home domain."""
-    daemon = _Daemon(f"{OTHER_DOMAIN}1", OTHER_DOMAIN, relaying=False)
+    daemon = _Daemon(f"{OTHER_DOMAIN}1", OTHER_DOMAIN, is_relay=False)
     daemon.replies[f"{HOME_DOMAIN}0"] = GRANTED
     assert daemon.spend() is None
     assert daemon.asked == [(f"{HOME_DOMAIN}0", 1)]
@@ -90,7 +90,7 @@
 
 def test_a_silent_home_is_asked_by_way_of_the_own_relay() -> None:
     """And left alone for a while, so that nobody waits for it again."""
-    daemon = _Daemon(f"{OTHER_DOMAIN}1", OTHER_DOMAIN, relaying=False)
+    daemon = _Daemon(f"{OTHER_DOMAIN}1", OTHER_DOMAIN, is_relay=False)
     daemon.replies[f"{OTHER_DOMAIN}0"] = GRANTED
     assert daemon.spend() is None
     assert daemon.asked == [(f"{HOME_DOMAIN}0", 1), (f"{OTHER_DOMAIN}0", 1)]
@@ -99,7 +99,7 @@
     assert daemon.spend() is None
     assert daemon.asked == [(f"{HOME_DOMAIN}1", 1)]
     daemon.asked.clear()
-    daemon.now += HOLDER_SILENT_S + 0.1
+    daemon.now += HOLDER_BACKOFF_S + 0.1
     daemon.replies[f"{HOME_DOMAIN}0"] = GRANTED
     assert daemon.spend() is None
     assert daemon.asked == [(f"{HOME_DOMAIN}0", 1)]
@@ -107,7 +107,7 @@
 
 def test_nobody_is_asked_again_before_the_next_token() -> None:
     """Callers are told when they may expect one, which is later."""
-    daemon = _Daemon(f"{OTHER_DOMAIN}1", OTHER_DOMAIN, relaying=False)
+    daemon = _Daemon(f"{OTHER_DOMAIN}1", OTHER_DOMAIN, is_relay=False)
     daemon.replies[f"{HOME_DOMAIN}0"] = SPENT
     for _ in range(3):
         refusal = daemon.spend()
@@ -123,7 +123,7 @@
 
 def test_the_home_grants_by_itself() -> None:
     """Its relay asks nobody, and only for the daemons that rely on it."""
-    daemon = _Daemon(f"{HOME_DOMAIN}0", HOME_DOMAIN, relaying=True)
+    daemon = _Daemon(f"{HOME_DOMAIN}0", HOME_DOMAIN, is_relay=True)
     assert daemon.spend() is not None
     daemon.now += 2.0
     for instance in (f"{HOME_DOMAIN}0", f"{HOME_DOMAIN}1"):
@@ -135,9 +135,9 @@
 
 def test_a_question_does_not_go_round_for_ever() -> None:
     """Daemons that hold each other for the relay stop after a few hops."""
-    daemon = _Daemon(f"{HOME_DOMAIN}1", HOME_DOMAIN, relaying=False)
-    wanted = TokenWanted(WORKSPACE.name, TOKEN_MAX_HOPS + 1)
-    answer = asyncio.run(daemon.tokens.wanted(wanted))
+    daemon = _Daemon(f"{HOME_DOMAIN}1", HOME_DOMAIN, is_relay=False)
+    wanted = TokenRequest(WORKSPACE.name, TOKEN_MAX_HOPS + 1)
+    answer = asyncio.run(daemon.tokens.handle_request(wanted))
     assert not answer.granted
     assert answer.wait_s > 0.0
     assert daemon.asked == []
@@ -145,8 +145,8 @@
 
 def test_an_unknown_workspace_gets_no_token() -> None:
     """The one that asks has a newer set; it is told to come back."""
-    daemon = _Daemon(f"{HOME_DOMAIN}0", HOME_DOMAIN, relaying=True)
-    answer = asyncio.run(daemon.tokens.wanted(TokenWanted("new", 1)))
+    daemon = _Daemon(f"{HOME_DOMAIN}0", HOME_DOMAIN, is_relay=True)
+    answer = asyncio.run(daemon.tokens.handle_request(TokenRequest("new", 1)))
     assert not answer.granted
     assert answer.wait_s > 0.0
 
