--- a/damaskbay/mesh/app.py
+++ b/damaskbay/mesh/app.py
@@ -1,4 +1,4 @@
-"""The event-driven daemon: its parts, their start and the graceful stop."""
+"""The event-driven daemon: its components, their start and the graceful shutdown."""
 
 import asyncio
 import contextlib
@@ -47,8 +47,8 @@
     TokenRequest,
 )
 from damaskbay.mesh.neighbours import wanted_neighbours
-from damaskbay.mesh.observing import ObservedParts, Observing
-from damaskbay.mesh.registry import FORGET_S, MemberWatch, Registration
+from damaskbay.mesh.observing import StatusEndpoints, StatusParts
+from damaskbay.mesh.registry import EXPIRY_INTERVAL_S, MemberWatch, Registration
 from damaskbay.mesh.running import RunningCalls
 from damaskbay.mesh.settings import MeshSettings
 from damaskbay.mesh.stopping import GracefulStop
@@ -58,16 +58,16 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-ACK_WRITE_S = 0.5
-"""Longest wait for the store before a leaving server is told so, seconds."""
+DRAIN_WRITE_TIMEOUT_S = 0.5
+"""Timeout of the store write before a server's drain report is confirmed, seconds."""
 
 
 Control = Callable[["MeshDaemon"], Handler]
-"""Makes the handler of the local server's reports."""
+"""Returns the HTTP handler for reports of the local server."""
 
 
 class MeshDaemon:
-    """One daemon. `run` serves until `stop` is called, then stops gracefully."""
+    """One daemon; `run` serves until `stop` is called, then shuts down gracefully."""
 
     def __init__(
         self, settings: MeshSettings, surroundings: Surroundings, control: Control
@@ -85,15 +85,15 @@
         self._links = PeerLinks(
             settings.peers,
             on_links_change=self._links_changed,
-            on_request=self._peer_request,
-            on_note=self._peer_note,
+            on_request=self._handle_request,
+            on_note=self._handle_note,
             note=self._note,
         )
         self._directory = Directory(settings.instance, self._links.up)
         options = QuotaOptions(settings.quota_overage, settings.quota_slack)
         self._shares = DemandShares(options)
         self._token_pool = TokenPool(settings.failure_domain, options)
-        self._make_followers()
+        self._make_store_clients()
         self._repeats = make_retry_budget(settings)
         self._telemetry = BoundTelemetry()
         shared = Shared(
@@ -112,8 +112,8 @@
         dialect = surroundings.dialect
         self._target = make_target(settings, dialect, shared, self._weight_of)
         self._ingress = make_ingress(settings, dialect, shared, self._target)
-        self._observing = Observing(
-            ObservedParts(
+        self._status = StatusEndpoints(
+            StatusParts(
                 self.configuration,
                 self._gate,
                 self._directory,
@@ -126,23 +126,23 @@
         )
         self._control = HttpServer(settings.control, control(self), CallerLimits())
         self._readiness = HttpServer(
-            settings.readiness, self._observing.readiness, CallerLimits()
+            settings.readiness, self._status.readiness, CallerLimits()
         )
         self._callers = HttpServer(
             settings.callers, self._ingress.serve, CallerLimits()
         )
         self._metrics = HttpServer(
-            settings.metrics, self._observing.metrics, CallerLimits()
+            settings.metrics, self._status.metrics, CallerLimits()
         )
         self.configuration.subscribe(self._config_changed)
 
     @property
     def ready(self) -> bool:
-        """Tell whether callers should come."""
+        """Return whether the daemon accepts callers."""
         return self.configuration.config is not None and not self._stopping.is_set()
 
     async def run(self) -> None:
-        """Serve until `stop`."""
+        """Serve until `stop` is called, then shut down gracefully."""
         async with contextlib.AsyncExitStack() as stack:
             await stack.enter_async_context(self._links)
             await stack.enter_async_context(self._control)
@@ -156,8 +156,8 @@
                 self._config_watch.run,
                 self._peer_config.run,
                 self._exchange.run,
-                self._forget,
-                self._expire,
+                self._remove_expired_members,
+                self._expire_waiting_calls,
             ):
                 self._tasks.append(loop.create_task(run()))
             _LOGGER.info(
@@ -176,7 +176,7 @@
         _LOGGER.info("daemon: has stopped.")
 
     async def _serve_metrics(self, stack: contextlib.AsyncExitStack) -> None:
-        """Serve metrics; where another program has their port, go on without."""
+        """Serve metrics; continue without them if their port is in use."""
         try:
             await stack.enter_async_context(self._metrics)
         except OSError as error:
@@ -186,7 +186,7 @@
             )
 
     def reload(self, settings: MeshSettings) -> None:
-        """Take changed bounds; addresses stay those of the start."""
+        """Apply changed limits; changed addresses need a restart."""
         self.local.drain_s = settings.drain_s
         options = QuotaOptions(settings.quota_overage, settings.quota_slack)
         self._shares.options = options
@@ -197,41 +197,41 @@
         )
 
     def stop(self) -> None:
-        """Begin the graceful stop."""
+        """Start the graceful shutdown."""
         self._stopping.set()
 
     async def take_heartbeat(self, beat: Heartbeat) -> None:
-        """Take a report of the local server."""
+        """Record a heartbeat of the local server."""
         self.local.heartbeat(beat, monotonic_s())
         if self.local.state is not ServerState.READY:
-            await self._registration.write_now(ACK_WRITE_S)
+            await self._registration.write_now(DRAIN_WRITE_TIMEOUT_S)
 
     async def take_leave(self, server: str, born_ms: int | None) -> None:
-        """Take note that the local server leaves."""
+        """Record that the local server has deregistered."""
         if self.local.deregister(server, born_ms, monotonic_s()):
-            await self._registration.write_now(ACK_WRITE_S)
+            await self._registration.write_now(DRAIN_WRITE_TIMEOUT_S)
 
-    def _make_followers(self) -> None:
-        around = self._surroundings
+    def _make_store_clients(self) -> None:
+        environment = self._surroundings
         self._registration = Registration(
-            around.store,
-            around.member_prefix + self.settings.instance,
+            environment.store,
+            environment.member_prefix + self.settings.instance,
             self._stored_record,
         )
         self._member_watch = MemberWatch(
-            around.store,
-            around.member_prefix,
+            environment.store,
+            environment.member_prefix,
             self._directory,
             on_change=self._members_changed,
-            own=self.settings.instance,
-            on_own=self._own_listed,
+            instance=self.settings.instance,
+            on_local_record=self._restore_server,
             clock=monotonic_s,
         )
         self._config_watch = ConfigWatch(
-            around.store,
-            prefix=around.config_prefix,
-            key=around.config_key,
-            decode=around.decode_config,
+            environment.store,
+            prefix=environment.config_prefix,
+            key=environment.config_key,
+            decode=environment.decode_config,
             configuration=self.configuration,
             needed=self._watch_needed,
             clock=monotonic_s,
@@ -272,27 +272,27 @@
         )
 
     def _watch_needed(self) -> bool:
-        """Tell whether this daemon has to watch the configuration in the store."""
+        """Return whether this daemon has to watch the configuration in the store."""
         age_s = self.configuration.proof_age_s(monotonic_s())
         return (
             self._exchange.is_relay or age_s is None or age_s > DIRECT_WATCH_PROOF_AGE_S
         )
 
     def _members_known(self) -> bool:
-        """Tell whether the number of daemons is known, not just the own."""
+        """Return whether peers are known, or the store's records have been read."""
         return len(self._directory.instances()) > 1 or self._member_watch.has_read
 
     def _stored_record(self) -> MemberRecord:
-        """Return the record with the server's own state, for the next start."""
+        """Return the record with the server's own state, for the next daemon start."""
         return replace(self._record(), state=self.local.state)
 
-    def _own_listed(self, record: MemberRecord) -> None:
-        """Take over what an earlier start of this daemon knew of the server."""
+    def _restore_server(self, record: MemberRecord) -> None:
+        """Restore the server's state from the record of an earlier daemon start."""
         if record.incarnation < self._incarnation:
             known = Heartbeat(
                 record.server, record.state, record.slots, 0, record.born_ms
             )
-            self.local.adopt(known, monotonic_s())
+            self.local.restore(known, monotonic_s())
 
     def _record(self) -> MemberRecord:
         settings = self.settings
@@ -323,40 +323,40 @@
             record.slots,
             round(self._gate.load(), 3),
             self.configuration.version,
-            round(max(0.0, self.local.cold_until - now), 1),
+            round(max(0.0, self.local.slow_until - now), 1),
         )
 
-    def _peer_note(self, note: Any) -> None:
+    def _handle_note(self, note: Any) -> None:
         if not isinstance(note, Note):
             return
         now = monotonic_s()
         known = note.instance in self._directory.instances()
-        self._directory.heard(note, now)
+        self._directory.put_note(note, now)
         if not known:
             self._members_changed()
         if note.config_version > self.configuration.version:
             self._peer_config.fetch(PeerAddress(note.host, note.port))
 
-    async def _peer_request(self, message: Any) -> Any:
+    async def _handle_request(self, message: Any) -> Any:
         if isinstance(message, ConfigWanted):
-            return self._peer_config.handle_request(message)
+            return self._peer_config.handle_config_request(message)
         if isinstance(message, DemandReport):
             return self._exchange.handle_report(message)
         if isinstance(message, DomainDemandRequest):
             return self._exchange.domain_demand(message)
         if isinstance(message, TokenRequest):
-            return await self._tokens.handle_request(message)
+            return await self._tokens.handle_token_request(message)
         if isinstance(message, CallMessage):
             context = context_of(message, now=monotonic_s())
             result = await self._target.run(context, request_of(message))
             return to_result_message(result)
-        raise TypeError(f"no handler for {type(message).__name__}")
+        raise TypeError(f"no handler for message {type(message).__name__}")
 
     def _links_changed(self) -> None:
         self._directory.invalidate()
 
     def _members_changed(self) -> None:
-        self._directory.forget(monotonic_s())
+        self._directory.remove_expired(monotonic_s())
         wanted = wanted_neighbours(self._directory.records(), self._record())
         self._links.want(self._directory.addresses(wanted))
         self._exchange.members_changed()
@@ -365,8 +365,8 @@
         now = monotonic_s()
         if self.local.slots and self.local.slots != self._gate.slots:
             self._gate.set_slots(self.local.slots, now)
-        self._directory.put_own(self._record(), now)
-        self._registration.changed()
+        self._directory.put_local(self._record(), now)
+        self._registration.schedule_write()
         self._links.tell_all()
 
     def _config_changed(self, config: ConfigSet) -> None:
@@ -379,10 +379,10 @@
         found = config.workspaces_by_name.get(workspace) if config else None
         return found.weight if found is not None else 1.0
 
-    async def _expire(self) -> None:
+    async def _expire_waiting_calls(self) -> None:
         await self._gate.run_expiry(monotonic_s)
 
-    async def _forget(self) -> None:
+    async def _remove_expired_members(self) -> None:
         while True:
-            await asyncio.sleep(FORGET_S)
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
             self._members_changed()
--- a/damaskbay/mesh/assembly.py
+++ b/damaskbay/mesh/assembly.py
@@ -1,4 +1,4 @@
-"""Makes the parts of the event-driven daemon that carry calls."""
+"""Creates the components of the event-driven daemon that process calls."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -31,10 +31,10 @@
 @dataclass(frozen=True, slots=True)
 class Surroundings:
     """
-    What the daemon finds around it.
+    Platform-specific dependencies of the daemon.
 
-    `config_prefix` and `config_key` are where the operator's set lies in the
-    store, `member_prefix` is where daemons keep their records.
+    `config_prefix` and `config_key` locate the operator's configuration set in
+    the store, `member_prefix` the records of the daemons.
     """
 
     store: Store
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Shared:
-    """What the parts on the path of a call share."""
+    """Components that ingress and target share."""
 
     configuration: Configuration
     local: LocalServer
@@ -68,7 +68,7 @@
     shared: Shared,
     weight_of: Callable[[str], float],
 ) -> Target:
-    """Return the sender to the local server."""
+    """Return the component that sends calls to the local server."""
     options = HttpClientOptions(echo_header=dialect.request_id)
     return Target(
         TargetParts(
@@ -90,7 +90,7 @@
 def make_ingress(
     settings: MeshSettings, dialect: Dialect, shared: Shared, target: Target
 ) -> Ingress:
-    """Return what serves callers, with the dispatcher behind it."""
+    """Return the component that serves callers, with its dispatcher."""
     router = Router(RouterOptions(settings.failure_domain, trust_load=True), shared.rng)
     dispatcher = Dispatcher(
         DispatchParts(
@@ -119,7 +119,7 @@
 
 
 def make_retry_budget(settings: MeshSettings) -> RepeatBudget:
-    """Return the budget of the server's part of what its pool may get again."""
+    """Return the retry budget of one server, a part of its pool's budget."""
     return RepeatBudget(
         RepeatOptions(
             ratio=RETRY_RATIO_SHARE * settings.retry_ratio,
--- a/damaskbay/mesh/config_watch.py
+++ b/damaskbay/mesh/config_watch.py
@@ -1,4 +1,4 @@
-"""Follows the operator's set in the store, and through peers where that fails."""
+"""Watches the operator's configuration set in the store, or at peers if that fails."""
 
 import asyncio
 import logging
@@ -14,33 +14,33 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-WATCH_S = 0.4
-"""Wait of one watch, seconds: each is a proof of freshness, dated from its start."""
+WATCH_TIMEOUT_S = 0.4
+"""Timeout of one watch, seconds; each proves freshness as of its start."""
 
-LOOK_S = 0.1
-"""Seconds between looks whether an own watch has become needed."""
+NEEDED_CHECK_INTERVAL_S = 0.1
+"""Seconds between checks whether this daemon needs to watch the store."""
 
-RETRY_S = 0.3
-"""Seconds before a failed store call is tried again."""
+RETRY_DELAY_S = 0.3
+"""Delay before a failed store request is retried, seconds."""
 
-ASK_PEERS_S = 0.4
-"""Seconds between questions to peers while the own proof ages."""
+PEER_POLL_INTERVAL_S = 0.4
+"""Seconds between requests to peers while the proof is old."""
 
-ASK_PEERS_AFTER_S = 2.2
-"""Age of the own proof, seconds, from which peers are asked: a watch has failed."""
+PEER_POLL_PROOF_AGE_S = 2.2
+"""Age of the proof, seconds, from which peers are polled: a watch has failed."""
 
-PEERS_ASKED = 2
-"""Peers asked at once."""
+PEERS_PER_POLL = 2
+"""Peers that are polled at once."""
 
-ASK_TIMEOUT_S = 1.0
-"""Longest wait for a peer's answer, seconds; a silent link is found as soon."""
+PEER_TIMEOUT_S = 1.0
+"""Timeout of a request to a peer, seconds; an unresponsive link fails as soon."""
 
 Decode = Callable[[bytes], ConfigSet | str]
-"""Returns the set in a stored value, or what is wrong with it."""
+"""Returns the configuration set in a stored value, or why the value is invalid."""
 
 
 class ConfigWatch:
-    """Puts what the operator stored in force; what can't be read is passed over."""
+    """Activates the configuration set in the store; skips invalid values."""
 
     def __init__(
         self,
@@ -63,45 +63,45 @@
         self.store_reached = True
 
     async def run(self) -> None:
-        """Read, then watch while that is needed, again and again until cancelled."""
+        """Read, then watch the store while that is needed, until cancelled."""
         while True:
             if not self._needed():
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(NEEDED_CHECK_INTERVAL_S)
                 continue
             began_at = self._clock()
             reading = await self._store.read(self._prefix)
             if isinstance(reading, StoreFailure):
-                self._lost(reading)
-                await asyncio.sleep(RETRY_S)
+                self._record_store_failure(reading)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            self._found()
+            self._record_store_success()
             for item in reading.items:
                 if item.key == self._key and item.value is not None:
-                    self._take(item.value, began_at)
-            await self._follow(reading.revision)
+                    self._apply_stored(item.value, began_at)
+            await self._watch_changes(reading.revision)
 
-    async def _follow(self, revision: int) -> None:
+    async def _watch_changes(self, revision: int) -> None:
         while self._needed():
             began_at = self._clock()
             reading = await self._store.watch(
-                self._prefix, after=revision, wait_s=WATCH_S
+                self._prefix, after=revision, wait_s=WATCH_TIMEOUT_S
             )
             if isinstance(reading, StoreFailure):
                 if reading.problem is not StoreProblem.COMPACTED:
-                    self._lost(reading)
-                    await asyncio.sleep(RETRY_S)
+                    self._record_store_failure(reading)
+                    await asyncio.sleep(RETRY_DELAY_S)
                 return
-            self._found()
+            self._record_store_success()
             revision = max(revision, reading.revision)
             values = [item.value for item in reading.items if item.key == self._key]
             for value in values:
                 if value is not None:
-                    self._take(value, began_at)
+                    self._apply_stored(value, began_at)
             if not values:
                 self._configuration.record_proof(self._configuration.version, began_at)
 
-    def take_document(self, document: bytes, source: str) -> None:
-        """Put a stored value in force if it is a newer set."""
+    def activate_document(self, document: bytes, source: str) -> None:
+        """Activate a stored value if it is a newer configuration set."""
         decoded = self._decode(document)
         if isinstance(decoded, str):
             _LOGGER.error(
@@ -111,13 +111,13 @@
             return
         self._configuration.activate(decoded, document, source)
 
-    def _take(self, document: bytes, began_at: float) -> None:
+    def _apply_stored(self, document: bytes, began_at: float) -> None:
         if document != self._configuration.document:
-            self.take_document(document, "store")
+            self.activate_document(document, "store")
         if document == self._configuration.document:
             self._configuration.record_proof(self._configuration.version, began_at)
 
-    def _lost(self, failure: StoreFailure) -> None:
+    def _record_store_failure(self, failure: StoreFailure) -> None:
         if self.store_reached:
             _LOGGER.warning(
                 "config: store is lost.",
@@ -125,14 +125,14 @@
             )
         self.store_reached = False
 
-    def _found(self) -> None:
+    def _record_store_success(self) -> None:
         if not self.store_reached:
-            _LOGGER.info("config: store is back.")
+            _LOGGER.info("config: store is reachable again.")
         self.store_reached = True
 
 
-class AskPeer(Protocol):
-    """Sends a message to a peer and returns its answer or a PeerFailure."""
+class SendRequest(Protocol):
+    """Sends a message to a peer and returns its reply or a PeerFailure."""
 
     async def __call__(
         self, peer: PeerAddress, message: Any, *, timeout_s: float
@@ -142,7 +142,7 @@
 
 
 class PeerConfig:
-    """Asks peers for newer sets and for proofs while the store can't be reached."""
+    """Fetches newer configuration sets and proofs from peers."""
 
     def __init__(
         self,
@@ -150,7 +150,7 @@
         configuration: Configuration,
         *,
         peers: Callable[[], Sequence[PeerAddress]],
-        request: AskPeer,
+        request: SendRequest,
         rng: Random,
         clock: Callable[[], float],
     ) -> None:
@@ -160,10 +160,10 @@
         self._request = request
         self._rng = rng
         self._clock = clock
-        self._asking: set[asyncio.Task[None]] = set()
+        self._fetch_tasks: set[asyncio.Task[None]] = set()
 
-    def handle_request(self, wanted: ConfigWanted) -> ConfigHeld:
-        """Answer a peer that asks."""
+    def handle_config_request(self, wanted: ConfigWanted) -> ConfigHeld:
+        """Return the reply to a peer, with the document only if the peer needs it."""
         configuration = self._configuration
         newer = configuration.version > wanted.newer_than
         age_s = configuration.proof_age_s(self._clock())
@@ -171,30 +171,30 @@
         return ConfigHeld(configuration.version, document, age_s)
 
     async def run(self) -> None:
-        """Ask a few peers whenever the own proof has grown old."""
+        """Poll a few peers while the proof is old, until cancelled."""
         while True:
-            await asyncio.sleep(ASK_PEERS_S)
+            await asyncio.sleep(PEER_POLL_INTERVAL_S)
             age_s = self._configuration.proof_age_s(self._clock())
-            if age_s is not None and age_s < ASK_PEERS_AFTER_S:
+            if age_s is not None and age_s < PEER_POLL_PROOF_AGE_S:
                 continue
             peers = list(self._peers())
-            for peer in self._rng.sample(peers, min(PEERS_ASKED, len(peers))):
+            for peer in self._rng.sample(peers, min(PEERS_PER_POLL, len(peers))):
                 self.fetch(peer)
 
     def fetch(self, peer: PeerAddress) -> None:
-        """Ask one peer."""
-        task = asyncio.get_running_loop().create_task(self._ask(peer))
-        self._asking.add(task)
-        task.add_done_callback(self._asking.discard)
+        """Start a request for the configuration to one peer."""
+        task = asyncio.get_running_loop().create_task(self._fetch(peer))
+        self._fetch_tasks.add(task)
+        task.add_done_callback(self._fetch_tasks.discard)
 
-    async def _ask(self, peer: PeerAddress) -> None:
+    async def _fetch(self, peer: PeerAddress) -> None:
         began_at = self._clock()
         wanted = ConfigWanted(self._configuration.version)
-        reply = await self._request(peer, wanted, timeout_s=ASK_TIMEOUT_S)
+        reply = await self._request(peer, wanted, timeout_s=PEER_TIMEOUT_S)
         if not isinstance(reply, ConfigHeld):
             return
         if reply.document:
-            self._watch.take_document(reply.document, str(peer))
+            self._watch.activate_document(reply.document, str(peer))
         if reply.proof_age_s is not None:
             self._configuration.record_proof(
                 reply.version, began_at - reply.proof_age_s
--- a/damaskbay/mesh/configuration.py
+++ b/damaskbay/mesh/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force, and how surely it is the newest."""
+"""The active configuration, and the proof that it is the newest."""
 
 import logging
 from collections.abc import Callable
@@ -12,11 +12,10 @@
 
 class Configuration:
     """
-    Holds the set in force; only a higher version replaces it.
+    Holds the active configuration set; only a higher version replaces it.
 
-    `document` is the set as the platform holds it, to hand on to peers.
-    `proven_at` is when the reading began that proved it the newest, in seconds
-    of the monotonic clock.
+    `document` is the set as the platform stores it, to send to peers. `proven_at`
+    is the start of the read that proved it the newest, in monotonic seconds.
     """
 
     def __init__(self) -> None:
@@ -29,15 +28,15 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 where there is none."""
+        """Return the active version, 0 if there is none."""
         return self.config.version if self.config is not None else 0
 
     def subscribe(self, callback: Callable[[ConfigSet], None]) -> None:
-        """Call back whenever a newer set is in force."""
+        """Call `callback` whenever a newer set is activated."""
         self._callbacks.append(callback)
 
     def activate(self, config: ConfigSet, document: bytes, source: str) -> bool:
-        """Put a set in force if it is newer; return whether it was."""
+        """Activate a set if it is newer; return whether it was."""
         if config.version <= self.version:
             return False
         self.config = config
@@ -52,13 +51,13 @@
             callback(config)
         return True
 
-    def record_proof(self, version: int, began_at: float) -> None:
-        """Take a proof that a version was the newest at a time."""
+    def record_proof(self, version: int, as_of: float) -> None:
+        """Record a proof that a version was the newest at a time."""
         if version == self.version and (
-            self.proven_at is None or began_at > self.proven_at
+            self.proven_at is None or as_of > self.proven_at
         ):
-            self.proven_at = began_at
+            self.proven_at = as_of
 
     def proof_age_s(self, now: float) -> float | None:
-        """Return how old the proof is, None where there is none."""
+        """Return the age of the proof in seconds, None if there is none."""
         return None if self.proven_at is None else max(0.0, now - self.proven_at)
--- a/damaskbay/mesh/dialect.py
+++ b/damaskbay/mesh/dialect.py
@@ -1,4 +1,4 @@
-"""Names of the headers that callers and backend servers speak."""
+"""Names of the HTTP headers between callers, daemons and backend servers."""
 
 from dataclasses import dataclass
 
@@ -8,8 +8,8 @@
     """
     Header names of one deployment.
 
-    `not_run` marks an answer of a server that did not run the request; the
-    statuses of `not_run_statuses` say so without it.
+    A server sets `not_run` on the response to a call that it did not run; the
+    statuses in `not_run_statuses` mean the same without this header.
     """
 
     request_id: str
@@ -26,7 +26,7 @@
 
     @property
     def reserved_headers(self) -> frozenset[str]:
-        """Return the headers, in lower case, that callers can't set themselves."""
+        """Return the headers, in lower case, that are removed from requests."""
         return frozenset(
             name.lower()
             for name in (
--- a/damaskbay/mesh/directory.py
+++ b/damaskbay/mesh/directory.py
@@ -1,4 +1,4 @@
-"""Which daemons and backend servers there are, from the platform and from peers."""
+"""The known daemons and backend servers, from the platform's store and from peers."""
 
 import logging
 from collections.abc import Callable, Iterable, Set as AbstractSet
@@ -11,13 +11,13 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-UNHEARD_S = 7.0
-"""Seconds after which a daemon that is neither listed nor heard of is forgotten."""
+NOTE_TIMEOUT_S = 7.0
+"""Seconds without a note after which a daemon that isn't listed is removed."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberRecord:
-    """What a daemon writes of itself into the platform."""
+    """A daemon's record in the platform's store; `born_ms` is its server's start."""
 
     instance: str
     incarnation: int
@@ -36,11 +36,11 @@
     listed: bool
     ready_at: float
     load: float = 0.0
-    heard_at: float = 0.0
+    noted_at: float = 0.0
 
 
 class Directory:
-    """Holds the known daemons by instance. Times in monotonic seconds."""
+    """Holds the known daemons by instance; times are in monotonic seconds."""
 
     def __init__(self, instance: str, is_up: Callable[[PeerAddress], bool]) -> None:
         self._instance = instance
@@ -48,33 +48,33 @@
         self._by_instance: dict[str, _Member] = {}
         self._views_by_pool: dict[str, list[ServerView]] = {}
 
-    def listed(self, records: Iterable[MemberRecord], now: float) -> None:
-        """Take a whole listing: what is missing there is no longer listed."""
+    def replace_listing(self, records: Iterable[MemberRecord], now: float) -> None:
+        """Replace the listing of the store; daemons missing there become unlisted."""
         present = set()
         for record in records:
             present.add(record.instance)
             self.put(record, now)
         for instance in self._by_instance.keys() - present - {self._instance}:
-            self.unlisted(instance, now)
+            self.remove_listing(instance, now)
 
     def put(self, record: MemberRecord, now: float) -> None:
-        """Take one record of the platform; the own one is known better here."""
+        """Record a peer's record from the store; ignore this daemon's own."""
         if record.instance != self._instance:
-            self._take(record, now, listed=True)
+            self._update(record, now, listed=True)
 
-    def put_own(self, record: MemberRecord, now: float) -> None:
-        """Take the state of this daemon and its server."""
-        self._take(record, now, listed=True)
+    def put_local(self, record: MemberRecord, now: float) -> None:
+        """Record the state of this daemon and its server."""
+        self._update(record, now, listed=True)
 
-    def unlisted(self, instance: str, now: float) -> None:
-        """Take note that the platform lists a daemon no more."""
+    def remove_listing(self, instance: str, now: float) -> None:
+        """Record that the store no longer lists a daemon."""
         member = self._by_instance.get(instance)
         if member is not None:
             member.listed = False
-        self.forget(now)
+        self.remove_expired(now)
 
-    def heard(self, note: Note, now: float) -> None:
-        """Take what a daemon says of itself; fresher than the platform's record."""
+    def put_note(self, note: Note, now: float) -> None:
+        """Record a peer's note, which is fresher than its record in the store."""
         record = MemberRecord(
             note.instance,
             note.incarnation,
@@ -84,27 +84,29 @@
             note.state,
             note.slots,
         )
-        member = self._take(record, now, listed=False)
+        member = self._update(record, now, listed=False)
         if member is not None:
             if note.cold_s > 0.0:
                 member.ready_at = now - SLOW_START_S + note.cold_s
             member.load = note.load
-            member.heard_at = now
+            member.noted_at = now
 
-    def forget(self, now: float) -> None:
-        """Drop daemons that are neither listed nor heard of."""
+    def remove_expired(self, now: float) -> None:
+        """Remove daemons that are unlisted and have sent no note lately."""
         for instance, member in tuple(self._by_instance.items()):
             if (
                 instance != self._instance
                 and not member.listed
-                and now - member.heard_at > UNHEARD_S
+                and now - member.noted_at > NOTE_TIMEOUT_S
             ):
                 del self._by_instance[instance]
                 self._views_by_pool.clear()
-                _LOGGER.info("fleet: daemon is gone.", extra={"peer": instance})
+                _LOGGER.info(
+                    "fleet: daemon has been removed.", extra={"peer": instance}
+                )
 
     def addresses(self, instances: AbstractSet[str]) -> frozenset[PeerAddress]:
-        """Return where some daemons listen."""
+        """Return the peer addresses of some daemons."""
         return frozenset(
             member.record.address
             for instance, member in self._by_instance.items()
@@ -112,26 +114,26 @@
         )
 
     def records(self) -> list[MemberRecord]:
-        """Return what is known of all daemons."""
+        """Return the latest records of all daemons."""
         return [member.record for member in self._by_instance.values()]
 
     def instances_by_domain(self) -> dict[str, set[str]]:
-        """Return the daemons that may be serving, by failure domain."""
+        """Return the known daemons, which may be serving, by failure domain."""
         found: dict[str, set[str]] = {}
         for instance, member in self._by_instance.items():
             found.setdefault(member.record.failure_domain, set()).add(instance)
         return found
 
     def instances(self) -> frozenset[str]:
-        """Return the daemons that may be serving."""
+        """Return the known daemons, which may be serving."""
         return frozenset(self._by_instance)
 
     def invalidate(self) -> None:
-        """Take note that links have come or gone."""
+        """Discard the cached servers after links have changed."""
         self._views_by_pool.clear()
 
     def servers(self, pool: str) -> list[ServerView]:
-        """Return the servers of a pool that can be reached."""
+        """Return the ready servers of a pool that are reachable."""
         views = self._views_by_pool.get(pool)
         if views is None:
             views = self._views_by_pool[pool] = self._servers(pool)
@@ -161,7 +163,7 @@
             record.instance == self._instance,
         )
 
-    def _take(
+    def _update(
         self, record: MemberRecord, now: float, *, listed: bool
     ) -> _Member | None:
         self._views_by_pool.pop(record.pool, None)
@@ -177,8 +179,8 @@
         known = member.record
         if record.incarnation < known.incarnation:
             return None
-        heard_lately = now - member.heard_at < UNHEARD_S
-        stale = listed and heard_lately and record.incarnation == known.incarnation
+        noted_lately = now - member.noted_at < NOTE_TIMEOUT_S
+        stale = listed and noted_lately and record.incarnation == known.incarnation
         if listed:
             member.listed = True
         if stale:
--- a/damaskbay/mesh/local_server.py
+++ b/damaskbay/mesh/local_server.py
@@ -1,4 +1,4 @@
-"""What the backend server beside this daemon says of itself."""
+"""State of the local backend server, from its heartbeats."""
 
 import logging
 from collections.abc import Callable
@@ -13,9 +13,10 @@
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
     """
-    One report of a backend server. `born_ms` and `sequence` order reports.
+    One report of a backend server; `born_ms` and `sequence` order the reports.
 
-    `cold_s` is how much longer the server stays slow after its start.
+    `born_ms` is the server's start in milliseconds since 1970, `cold_s` the rest
+    of its slow start in seconds.
     """
 
     server: str
@@ -27,18 +28,18 @@
 
 
 class LocalServer:
-    """Follows the backend server through starts, heartbeats and its leaving."""
+    """Tracks the local backend server from its start to its drain."""
 
     def __init__(self, drain_s: float, on_change: Callable[[], None]) -> None:
         self.server = ""
         self.slots = 0
         self.state = ServerState.STARTING
-        self.cold_until = 0.0
+        self.slow_until = 0.0
         self.drain_s = drain_s
         self._born_ms = -1
         self._sequence = -1
-        self._stops_at: float | None = None
-        self._left: tuple[str, int] | None = None
+        self._send_until: float | None = None
+        self._restored_draining: tuple[str, int] | None = None
         self._on_change = on_change
 
     @property
@@ -47,13 +48,13 @@
         return max(0, self._born_ms)
 
     def heartbeat(self, beat: Heartbeat, now: float) -> bool:
-        """Take a report; return False for one that a newer one has overtaken."""
+        """Record a report; return False if it is older than the last one."""
         order = (beat.born_ms, beat.sequence)
         if order <= (self._born_ms, self._sequence):
             return False
-        new_boot = beat.born_ms != self._born_ms
+        restarted = beat.born_ms != self._born_ms
         self._born_ms, self._sequence = order
-        if not new_boot and self.state in (ServerState.DRAINING, ServerState.GONE):
+        if not restarted and self.state in (ServerState.DRAINING, ServerState.GONE):
             return True
         changed = (beat.server, beat.slots, beat.state) != (
             self.server,
@@ -62,46 +63,46 @@
         )
         self.server = beat.server
         self.slots = beat.slots
-        self.cold_until = now + beat.cold_s
-        if new_boot:
-            self._stops_at = None
-        left = self._left == (beat.server, beat.born_ms)
-        self._enter(ServerState.DRAINING if left else beat.state, now)
+        self.slow_until = now + beat.cold_s
+        if restarted:
+            self._send_until = None
+        was_draining = self._restored_draining == (beat.server, beat.born_ms)
+        self._set_state(ServerState.DRAINING if was_draining else beat.state, now)
         if changed:
             self._on_change()
         return True
 
-    def adopt(self, known: Heartbeat, now: float) -> None:
+    def restore(self, known: Heartbeat, now: float) -> None:
         """
-        Take from an earlier start of the daemon what its server had last said.
+        Restore the server's last report from an earlier start of the daemon.
 
-        A leaving server stays so. Another one in its place is told by its next
-        report, and refuses calls that name the known one.
+        A draining server stays so. If another server has taken its place, that one
+        refuses calls for the known server until its first report.
         """
         if self.state is not ServerState.STARTING or not known.server:
             return
         if known.state is not ServerState.READY:
-            self._left = (known.server, known.born_ms)
+            self._restored_draining = (known.server, known.born_ms)
             return
         self.server, self.slots = known.server, known.slots
         self._born_ms = known.born_ms
-        self._enter(ServerState.READY, now)
+        self._set_state(ServerState.READY, now)
         self._on_change()
 
     def deregister(self, server: str, born_ms: int | None, now: float) -> bool:
-        """Take note that a server leaves; return False for one that is not here."""
+        """Record a deregistration; return False for an older or another server."""
         if server != self.server or (born_ms is not None and born_ms < self._born_ms):
             return False
         if self.state is not ServerState.GONE:
-            self._enter(ServerState.GONE, now)
+            self._set_state(ServerState.GONE, now)
             self._on_change()
         return True
 
     def may_send(self, now: float) -> bool:
-        """Tell whether a call that was admitted may still go to the server."""
-        return self._stops_at is None or now < self._stops_at
+        """Return whether an admitted call may still be sent to the server."""
+        return self._send_until is None or now < self._send_until
 
-    def _enter(self, state: ServerState, now: float) -> None:
+    def _set_state(self, state: ServerState, now: float) -> None:
         if state is not self.state:
             _LOGGER.info(
                 "backend: state has changed.",
@@ -112,6 +113,6 @@
                 },
             )
         self.state = state
-        leaving = state in (ServerState.DRAINING, ServerState.GONE)
-        if leaving and self._stops_at is None:
-            self._stops_at = now + max(0.0, self.drain_s - DRAIN_MARGIN_S)
+        draining = state in (ServerState.DRAINING, ServerState.GONE)
+        if draining and self._send_until is None:
+            self._send_until = now + max(0.0, self.drain_s - DRAIN_MARGIN_S)
--- a/damaskbay/mesh/messages.py
+++ b/damaskbay/mesh/messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other besides calls."""
+"""Messages between daemons other than calls."""
 
 from dataclasses import dataclass
 
@@ -10,9 +10,9 @@
 @dataclass(frozen=True, slots=True)
 class Note:
     """
-    A daemon's own state. `load` is calls running and waiting per slot.
+    A daemon's state, sent to its peers; `load` is running and waiting calls per slot.
 
-    `cold_s` is how much longer the server stays slow after its start.
+    `cold_s` is the rest of the server's slow start in seconds.
     """
 
     instance: str
@@ -31,7 +31,7 @@
 @message("mesh.config_wanted")
 @dataclass(frozen=True, slots=True)
 class ConfigWanted:
-    """Ask a peer for the configuration it has in force."""
+    """Request for a peer's active configuration."""
 
     newer_than: int
 
@@ -39,7 +39,7 @@
 @message("mesh.config_held")
 @dataclass(frozen=True, slots=True)
 class ConfigHeld:
-    """The configuration a daemon has in force, as it came from the platform."""
+    """A daemon's active configuration; `document` is empty if it isn't newer."""
 
     version: int
     document: bytes
@@ -49,7 +49,7 @@
 @message("mesh.demand_report")
 @dataclass(frozen=True, slots=True)
 class DemandReport:
-    """A daemon's demand, in requests per second by workspace, to its domain's relay."""
+    """A daemon's demand for its domain's relay, requests per second by workspace."""
 
     instance: str
     demand: dict[str, float]
@@ -59,12 +59,12 @@
 @dataclass(frozen=True, slots=True)
 class FleetState:
     """
-    What the relay of a domain knows: its answer to a report.
+    A relay's reply to a demand report.
 
-    `own` is the reporting daemon's demand as it was counted in the last round, to
-    be set against `total`, over `daemons` daemons; 0 where the relay doesn't know
-    the fleet yet. `proof_age_s` is how long ago the configuration of this version
-    was proven the newest, None where it never was.
+    `own` is the reporting daemon's demand in the last round, as a part of `total`
+    over `daemons` daemons; `daemons` is 0 while the relay doesn't know the fleet.
+    `proof_age_s` is how long ago the configuration of this version was proven the
+    newest, None if it never was.
     """
 
     own: dict[str, float]
@@ -78,10 +78,10 @@
 @dataclass(frozen=True, slots=True)
 class DomainDemandRequest:
     """
-    Ask a relay of another domain for the demand on its domain.
+    Request to a relay of a remote domain for the demand on that domain.
 
-    `daemons` of the domain `asked_by` rely on the asking relay, which had its last
-    answer `answer_age_s` ago and knows `domains`, sorted.
+    The sender is a relay of the domain `asked_by`, on which `daemons` daemons rely.
+    It got the last reply `answer_age_s` seconds ago and knows `domains`, sorted.
     """
 
     asked_by: str
@@ -93,7 +93,7 @@
 @message("mesh.token_wanted")
 @dataclass(frozen=True, slots=True)
 class TokenRequest:
-    """Ask for one token of a small workspace; `hops` daemons have passed this on."""
+    """Request for one token of a small workspace, sent `hops` times so far."""
 
     workspace: str
     hops: int
--- a/damaskbay/mesh/observing.py
+++ b/damaskbay/mesh/observing.py
@@ -1,4 +1,4 @@
-"""What is shown of the daemon: readiness and metrics."""
+"""Status endpoints of the daemon: readiness and metrics."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,12 +14,12 @@
 from damaskbay.mesh.gate import Gate
 
 NO_PROOF = -1.0
-"""Shown as the age of a proof where there is none."""
+"""Value of the proof age metric while there is no proof."""
 
 
 @dataclass(frozen=True, slots=True)
-class ObservedParts:
-    """What the gauges read."""
+class StatusParts:
+    """Components that the gauges read."""
 
     configuration: Configuration
     gate: Gate
@@ -29,12 +29,12 @@
     clock: Callable[[], float]
 
 
-class Observing:
-    """Serves readiness and metrics."""
+class StatusEndpoints:
+    """Serves readiness and metrics over HTTP."""
 
     def __init__(
         self,
-        parts: ObservedParts,
+        parts: StatusParts,
         telemetry: BoundTelemetry,
         is_ready: Callable[[], bool],
     ) -> None:
@@ -44,7 +44,7 @@
         self._register_gauges()
 
     async def readiness(self, _arrival: Arrival) -> Answer:
-        """Tell whether callers should come."""
+        """Return status 200 if the daemon accepts callers, else 503."""
         status = HTTPStatus.OK if self._is_ready() else HTTPStatus.SERVICE_UNAVAILABLE
         return Answer(int(status))
 
--- a/damaskbay/mesh/records.py
+++ b/damaskbay/mesh/records.py
@@ -1,4 +1,4 @@
-"""How a daemon's record stands in the platform's store: msgpack."""
+"""Encoding of a daemon's record in the platform's store: msgpack."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 def encode_record(record: MemberRecord) -> bytes:
-    """Return the value to store."""
+    """Return the stored form of a record."""
     value: bytes = msgpack.packb(
         (
             _FORMAT,
@@ -32,11 +32,11 @@
 
 
 def decode_record(value: bytes) -> MemberRecord | None:
-    """Return the record in a value, None where it is none of this format."""
+    """Return the record in a stored value, None if the value is invalid."""
     try:
-        parts: Any = msgpack.unpackb(value)
+        fields: Any = msgpack.unpackb(value)
         (
-            form,
+            format_version,
             instance,
             incarnation,
             domain,
@@ -47,8 +47,8 @@
             slots,
             server,
             born,
-        ) = parts
-        if form != _FORMAT:
+        ) = fields
+        if format_version != _FORMAT:
             return None
         return MemberRecord(
             str(instance),
--- a/damaskbay/mesh/registry.py
+++ b/damaskbay/mesh/registry.py
@@ -1,4 +1,4 @@
-"""Keeps the daemon's record in the store, and follows those of the others."""
+"""Keeps the daemon's record in the store, and watches the records of its peers."""
 
 import asyncio
 import logging
@@ -18,26 +18,26 @@
 _LOGGER = logging.getLogger(__name__)
 
 LEASE_S = 8.0
-"""Time to live of a record, seconds: longer than a restart or a short outage."""
+"""Time to live of a record, seconds; longer than a restart or a short outage."""
 
-KEEP_S = 2.5
-"""Seconds between renewals: three fit into the lease."""
+RENEW_INTERVAL_S = 2.5
+"""Seconds between lease renewals; three fit into the lease."""
 
-RETRY_S = 0.4
-"""Seconds before a failed store call is tried again: records return within 2 s."""
+RETRY_DELAY_S = 0.4
+"""Delay before a store request is retried, seconds; records return within 2 s."""
 
-WATCH_S = 20.0
-"""Longest wait of a watch on the records, seconds; changes end it sooner."""
+WATCH_TIMEOUT_S = 20.0
+"""Timeout of a watch on the records, seconds; a change ends it sooner."""
 
-COLLECT_S = 2.0
-"""Seconds after a change before the next watch: notes tell of new daemons sooner."""
+CHANGE_BATCH_DELAY_S = 2.0
+"""Delay from a change to the next watch, seconds; notes announce daemons sooner."""
 
-FORGET_S = 1.0
-"""Seconds between looks for daemons that are gone."""
+EXPIRY_INTERVAL_S = 1.0
+"""Seconds between checks for daemons that have failed."""
 
 
 class Registration:
-    """Writes the own record under a lease, again whenever it has changed."""
+    """Writes the daemon's record under a lease whenever it has changed."""
 
     def __init__(
         self, store: Store, key: str, record: Callable[[], MemberRecord]
@@ -51,23 +51,23 @@
         self._changed = asyncio.Event()
         self._lock = asyncio.Lock()
 
-    def changed(self) -> None:
-        """Have the record written anew soon."""
+    def schedule_write(self) -> None:
+        """Wake `run` to write a changed record."""
         self._changed.set()
 
     async def write_now(self, timeout_s: float) -> bool:
-        """Write a changed record at once; return whether it stands in the store."""
+        """Write a changed record at once; return whether the store has it."""
         try:
             async with asyncio.timeout(timeout_s):
                 return await self._write()
         except TimeoutError:
-            self.changed()
+            self.schedule_write()
             return False
 
     async def run(self) -> None:
-        """Keep the record until cancelled."""
+        """Renew the lease and write the record until cancelled."""
         while True:
-            pause_s = KEEP_S if await self._renew() else RETRY_S
+            pause_s = RENEW_INTERVAL_S if await self._renew() else RETRY_DELAY_S
             try:
                 async with asyncio.timeout(pause_s):
                     await self._changed.wait()
@@ -101,7 +101,7 @@
             return await self._put(record)
 
     async def _put(self, record: MemberRecord) -> bool:
-        """Write on condition of the last known revision, so that no late write wins."""
+        """Write only over the last known revision, so that no delayed write wins."""
         for _ in range(2):
             outcome = await self._store.write(
                 self._key,
@@ -126,7 +126,7 @@
 
 
 class MemberWatch:
-    """Follows the records of all daemons."""
+    """Watches the records of all daemons."""
 
     def __init__(
         self,
@@ -135,63 +135,63 @@
         directory: Directory,
         *,
         on_change: Callable[[], None],
-        own: str,
-        on_own: Callable[[MemberRecord], None],
+        instance: str,
+        on_local_record: Callable[[MemberRecord], None],
         clock: Callable[[], float],
     ) -> None:
         self._store = store
         self._prefix = prefix
         self._directory = directory
         self._on_change = on_change
-        self._own = own
-        self._on_own = on_own
+        self._instance = instance
+        self._on_local_record = on_local_record
         self.has_read = False
         self._clock = clock
 
     async def run(self) -> None:
-        """Read, then watch, again and again until cancelled."""
+        """Read the records, then watch them, until cancelled."""
         while True:
             reading = await self._store.read(self._prefix)
             if isinstance(reading, StoreFailure):
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             now = self._clock()
             found = [decode_record(item.value or b"") for item in reading.items]
             records = [record for record in found if record is not None]
             for record in records:
-                if record.instance == self._own:
-                    self._on_own(record)
-            self._directory.listed(records, now)
+                if record.instance == self._instance:
+                    self._on_local_record(record)
+            self._directory.replace_listing(records, now)
             self.has_read = True
             self._on_change()
-            await self._follow(reading.revision)
+            await self._watch_changes(reading.revision)
 
-    async def _follow(self, revision: int) -> None:
-        """Watch until the history is lost."""
+    async def _watch_changes(self, revision: int) -> None:
+        """Apply changes until the store has dropped the history that is needed."""
         while True:
             outcome = await self._store.watch(
-                self._prefix, after=revision, wait_s=WATCH_S
+                self._prefix, after=revision, wait_s=WATCH_TIMEOUT_S
             )
             if isinstance(outcome, StoreReading):
                 revision = max(revision, outcome.revision)
                 for item in outcome.items:
-                    self._take(item)
+                    self._apply_change(item)
                 if outcome.items:
                     self._on_change()
-                    await asyncio.sleep(COLLECT_S)
+                    await asyncio.sleep(CHANGE_BATCH_DELAY_S)
                 continue
             _LOGGER.info(
                 "registry: watch has ended.",
                 extra={"why": outcome.problem.value, "detail": outcome.detail},
             )
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
             if outcome.problem is StoreProblem.COMPACTED:
                 return
 
-    def _take(self, item: StoreItem) -> None:
+    def _apply_change(self, item: StoreItem) -> None:
         now = self._clock()
         if item.value is None:
-            self._directory.unlisted(item.key.removeprefix(self._prefix), now)
+            self._directory.remove_listing(item.key.removeprefix(self._prefix), now)
             return
         record = decode_record(item.value)
         if record is None:
--- a/damaskbay/mesh/settings.py
+++ b/damaskbay/mesh/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the event-driven daemon, as its surroundings gave them."""
+"""Settings of the event-driven daemon, as given by its platform."""
 
 from dataclasses import dataclass
 
@@ -8,13 +8,13 @@
 @dataclass(frozen=True, slots=True)
 class MeshSettings:
     """
-    One daemon's addresses and bounds; times in seconds.
+    Addresses and limits of one daemon; times in seconds.
 
-    `callers`, `control` and `readiness` are listened on, as are `peers` and
-    `metrics`. `pool` is what the server at `server` belongs to. At most
-    `retry_ratio` times the requests, and `retry_slack` more, may be sent again
-    to a pool, over the whole fleet. A workspace may exceed
-    its rate and burst by the part `quota_overage`, and `quota_slack` requests.
+    The daemon listens on `callers`, `control`, `readiness`, `peers` and `metrics`.
+    The local server at `server` belongs to `pool`. The fleet may send a pool at
+    most `retry_ratio` times its calls, plus `retry_slack`, as retries. A workspace
+    may exceed its rate and burst by the part `quota_overage` and `quota_slack`
+    requests.
     """
 
     instance: str
--- a/damaskbay/mesh/stopping.py
+++ b/damaskbay/mesh/stopping.py
@@ -1,4 +1,4 @@
-"""The graceful stop: tell all, go on serving, end what runs."""
+"""Graceful shutdown: announce it, keep serving, finish running calls."""
 
 import asyncio
 import logging
@@ -18,19 +18,19 @@
 _LOGGER = logging.getLogger(__name__)
 
 POLL_S = 0.05
-"""Seconds between looks whether all calls have ended."""
+"""Seconds between checks whether all calls have ended."""
 
-LAST_CALLS_SHARE = 0.4
-"""Part of the waiting time in which no more callers are let in, 0 to 1.
+NOT_ACCEPTING_SHARE = 0.4
+"""Part of the waiting time, at its end, without new connections, 0 to 1.
 
-Without it callers that go on coming are cut at the end. The own server, while it
-runs a call, may still need a connection for a call of its own.
+Without it, callers that keep connecting are cut off at the end. Connections are
+still accepted while the local server runs a call, which may make nested calls.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class GracefulStop:
-    """What is told and waited for when a daemon stops."""
+    """Shuts a daemon down: the components that are notified and waited for."""
 
     callers: HttpServer
     ingress: Ingress
@@ -38,28 +38,28 @@
     links: PeerLinks
 
     async def run(self, grace_s: float) -> None:
-        """Return when nothing runs any more, or shortly before the time is up."""
-        began = monotonic_s()
-        end = began + grace_s - STOP_MARGIN_S
+        """Return when no call runs any more, or shortly before `grace_s` is over."""
+        started_at = monotonic_s()
+        ends_at = started_at + grace_s - STOP_MARGIN_S
         _LOGGER.info("daemon: graceful stop begins.")
         self.callers.draining = True
         ready_s = min(SERVE_AFTER_SIGTERM_S, SERVE_AFTER_SIGTERM_SHARE * grace_s)
-        while monotonic_s() < began + ready_s:
+        while monotonic_s() < started_at + ready_s:
             await asyncio.sleep(POLL_S)
         self.target.draining = True
         self.links.tell_all()
         await asyncio.sleep(POLL_S)
         self.callers.close_idle()
-        closing_at = end - LAST_CALLS_SHARE * (end - monotonic_s())
-        while monotonic_s() < end and self._busy():
-            if monotonic_s() >= closing_at and not self.target.in_flight:
+        stop_accepting_at = ends_at - NOT_ACCEPTING_SHARE * (ends_at - monotonic_s())
+        while monotonic_s() < ends_at and self._has_calls():
+            if monotonic_s() >= stop_accepting_at and not self.target.in_flight:
                 break
             await asyncio.sleep(POLL_S)
             self.callers.close_idle()
         self.callers.stop_listening()
         await asyncio.sleep(POLL_S)
         self.callers.close_idle()
-        while monotonic_s() < end and self._busy():
+        while monotonic_s() < ends_at and self._has_calls():
             await asyncio.sleep(POLL_S)
             self.callers.close_idle()
         _LOGGER.info(
@@ -70,7 +70,7 @@
             },
         )
 
-    def _busy(self) -> bool:
+    def _has_calls(self) -> bool:
         return bool(
             self.ingress.in_flight or self.target.in_flight or self.callers.under_way
         )
--- a/damaskbay/mesh/tokens.py
+++ b/damaskbay/mesh/tokens.py
@@ -76,7 +76,7 @@
         detail = f"pooled at {home}, of {workspace.rate_per_s:g}/s"
         return not_run(Reason.RATE_EXCEEDED, retry_after_s=wait_s, detail=detail)
 
-    async def handle_request(self, message: TokenRequest) -> Grant:
+    async def handle_token_request(self, message: TokenRequest) -> Grant:
         """Return the grant for a request of a peer."""
         config = self._parts.configuration.config
         workspaces = config.workspaces_by_name if config is not None else {}
--- a/damaskbay/mesh/weights.py
+++ b/damaskbay/mesh/weights.py
@@ -1,4 +1,4 @@
-"""Spreads a route's calls over its weighted pools, evenly also over short spans."""
+"""Distributes a route's calls over its weighted pools, also in short periods."""
 
 from random import Random
 
@@ -6,26 +6,28 @@
 
 
 class WeightedChoice:
-    """Smooth weighted round robin for each route, begun at a random place."""
+    """Smooth entry round robin per route, from a random starting position."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
-        self._state: dict[str, tuple[tuple[WeightedPool, ...], dict[str, float]]] = {}
+        self._state_by_route: dict[
+            str, tuple[tuple[WeightedPool, ...], dict[str, float]]
+        ] = {}
 
     def pool(self, route: Route) -> str:
         """Return the pool for the next call of a route."""
         if not isinstance(route, WeightedRoute) or not route.weighted_pools:
             return route.pool
-        parts = route.weighted_pools
-        known = self._state.get(route.name)
-        if known is None or known[0] != parts:
-            total = sum(part.weight for part in parts)
-            credit = {part.pool: self._rng.random() * total for part in parts}
-            known = (parts, credit)
-            self._state[route.name] = known
-        credit = known[1]
-        for part in parts:
-            credit[part.pool] += part.weight
-        chosen = max(parts, key=lambda part: credit[part.pool])
-        credit[chosen.pool] -= sum(part.weight for part in parts)
+        pools = route.weighted_pools
+        route_state = self._state_by_route.get(route.name)
+        if route_state is None or route_state[0] != pools:
+            total = sum(entry.weight for entry in pools)
+            credit = {entry.pool: self._rng.random() * total for entry in pools}
+            route_state = (pools, credit)
+            self._state_by_route[route.name] = route_state
+        credit = route_state[1]
+        for entry in pools:
+            credit[entry.pool] += entry.weight
+        chosen = max(pools, key=lambda entry: credit[entry.pool])
+        credit[chosen.pool] -= sum(entry.weight for entry in pools)
         return chosen.pool
--- a/tests/mesh/common.py
+++ b/tests/mesh/common.py
@@ -1,4 +1,4 @@
-"""A fleet of event-driven daemons on loopback, with a store and servers beside."""
+"""A fleet of event-driven daemons on loopback, with their store and servers."""
 
 import asyncio
 import contextlib
@@ -34,14 +34,14 @@
 
 
 def free_address() -> PeerAddress:
-    """Return an address that nobody listens on."""
+    """Return an address with a free port."""
     with socket.create_server((HOST, 0)) as found:
         return PeerAddress(HOST, found.getsockname()[1])
 
 
 @dataclass
 class Backend:
-    """A backend server; `behave` may change what it answers."""
+    """A backend server; `behave` may override its responses."""
 
     pool: str
     server: str
@@ -50,13 +50,13 @@
     behave: Callable[[Request], Awaitable[Answer | None]] | None = None
 
     async def serve(self, arrival: Arrival) -> Answer:
-        """Serve a request as the protocol says."""
+        """Return the usual response, or the one that `behave` returns."""
         request = arrival.request
         self.seen.append(request)
         if self.behave is not None:
-            special = await self.behave(request)
-            if special is not None:
-                return special
+            override = await self.behave(request)
+            if override is not None:
+                return override
         headers = dict(request.headers)
         own: Headers = (
             ("X-Request-Id", headers.get("X-Request-Id", "")),
@@ -65,13 +65,13 @@
         return Answer(200, own, self.server.encode())
 
     def ids(self) -> list[str]:
-        """Return the ids of the requests that arrived."""
+        """Return the ids of the received requests."""
         return [dict(request.headers)["X-Request-Id"] for request in self.seen]
 
 
 @dataclass
 class Node:
-    """A daemon and the server beside it."""
+    """A daemon and its local server."""
 
     daemon: MeshDaemon
     backend: Backend
@@ -79,7 +79,7 @@
     sequence: int = 0
 
     async def beat(self, state: str = "ready", slots: int = 8) -> int:
-        """Report as the server does; return the status of the answer."""
+        """Send a heartbeat as the server does; return the response status."""
         self.sequence += 1
         report = {
             "Service": self.backend.pool,
@@ -107,7 +107,7 @@
         request_id: str | None = None,
         deadline_ms: int = 3000,
     ) -> Answer:
-        """Send a request as a caller of this machine."""
+        """Send a request as a local caller."""
         own: Headers = (
             ("X-Request-Id", request_id or f"q{next(_ids)}"),
             ("X-Deadline-Ms", str(deadline_ms)),
@@ -127,7 +127,7 @@
 
 
 class Fleet:
-    """Daemons by name, the store they share and what the operator publishes."""
+    """Daemons by name, with their store and the published manifest."""
 
     def __init__(self, stack: contextlib.AsyncExitStack) -> None:
         self.kv = KvStandIn()
@@ -145,13 +145,13 @@
     async def publish(
         self, *, keys: tuple[str, ...] = ("k1",), rate: int = 500, **route: Any
     ) -> None:
-        """Write the next version of the manifest."""
+        """Store the next version of the manifest."""
         self.version += 1
         document = json.dumps(manifest(self.version, keys, rate, route)).encode()
         await self.kv.put(CONFIG_KEY, document)
 
     async def add(self, name: str, pool: str, **changes: Any) -> Node:
-        """Start a daemon and its server, report it ready and wait until it serves."""
+        """Start a daemon and its server, and report the server ready."""
         backend = Backend(pool, f"i-{name}", free_address())
         await self._stack.enter_async_context(
             HttpServer(backend.address, backend.serve, CallerLimits())
@@ -161,9 +161,9 @@
         return node
 
     async def add_daemon(self, name: str, backend: Backend, **changes: Any) -> Node:
-        """Start a daemon beside a server that runs."""
+        """Start a daemon for a running server and wait until it serves."""
         settings = _settings(name, backend, self._store_address, changes)
-        around = Surroundings(
+        surroundings = Surroundings(
             KvStore(settings.store),
             DIALECT,
             decode_config,
@@ -180,7 +180,7 @@
                 daemon.take_leave,
             ).serve
 
-        daemon = MeshDaemon(settings, around, control)
+        daemon = MeshDaemon(settings, surroundings, control)
         node = Node(daemon, backend, asyncio.create_task(daemon.run()))
         self.nodes[name] = node
         self._stack.callback(node.run.cancel)
@@ -193,31 +193,31 @@
         """Wait until every daemon knows every server."""
         count = len(self.nodes)
         for node in self.nodes.values():
-            await until(lambda node=node: _known(node) == count)  # type: ignore[misc]
+            await until(lambda node=node: _reachable_servers(node) == count)  # type: ignore[misc]
 
 
-def _known(node: Node) -> int:
+def _reachable_servers(node: Node) -> int:
     directory = node.daemon._directory
     pools = {record.record.pool for record in directory._by_instance.values()}
     return sum(len(directory.servers(pool)) for pool in pools)
 
 
 @contextlib.asynccontextmanager
-async def fleet(**nodes: str) -> AsyncIterator[Fleet]:
-    """Yield a fleet of daemons, given as name=pool, that serves."""
+async def run_fleet(**nodes: str) -> AsyncIterator[Fleet]:
+    """Yield a serving fleet of daemons, given as name=pool."""
     async with contextlib.AsyncExitStack() as stack:
-        made = Fleet(stack)
-        await made.start()
-        await made.publish()
+        fleet = Fleet(stack)
+        await fleet.start()
+        await fleet.publish()
         for name, pool in nodes.items():
-            await made.add(name, pool)
-        await made.settle()
+            await fleet.add(name, pool)
+        await fleet.settle()
         async with asyncio.timeout(4 * WAIT_S):
-            yield made
+            yield fleet
 
 
 async def until(holds: Callable[[], bool]) -> None:
-    """Wait until something holds."""
+    """Wait until a condition holds."""
     async with asyncio.timeout(WAIT_S):
         while not holds():
             await asyncio.sleep(0.01)
@@ -226,7 +226,7 @@
 def manifest(
     version: int, keys: tuple[str, ...], rate: int, changes: dict[str, Any]
 ) -> dict[str, Any]:
-    """Return a manifest: /safe/ and /unsafe/ go to pool one, /open/ to pool two."""
+    """Return a manifest; /safe/ and /unsafe/ go to pool one, /open/ to pool two."""
     spec: dict[str, Any] = {
         "Host": "a.example",
         "Timeout": "2s",
--- a/tests/mesh/test_exchange.py
+++ b/tests/mesh/test_exchange.py
@@ -1,4 +1,4 @@
-"""Reports to a relay, and is_relay, without sockets."""
+"""Demand reports and relays, without sockets."""
 
 import asyncio
 import unittest
@@ -20,7 +20,7 @@
 
 WORKSPACE = Workspace("w", 100.0, 100)
 STEADY_ROUNDS = 30
-"""Rounds after which an even demand is told in full: several time constants."""
+"""Rounds until even demand is reported in full: several time constants."""
 
 
 class _Clock:
@@ -32,7 +32,7 @@
 
 
 class _Network:
-    """Carries messages between exchanges; those in `down` are out of reach."""
+    """Delivers messages between exchanges; those in `down` are unreachable."""
 
     def __init__(self) -> None:
         self.down: set[PeerAddress] = set()
@@ -52,9 +52,9 @@
         if isinstance(message, DomainDemandRequest):
             return exchange.domain_demand(message)
         assert isinstance(message, DemandReport)
-        answer = exchange.handle_report(message)
+        reply = exchange.handle_report(message)
         self.clock.now += self.delay_s
-        return answer
+        return reply
 
 
 class _Daemon:
@@ -64,13 +64,13 @@
         self.record = record
         self.configuration = Configuration()
         self.configuration.activate(ConfigSet(3, "d"), b"", "test")
-        self.asked: list[PeerAddress] = []
-        self.known = True
+        self.fetched_from: list[PeerAddress] = []
+        self.members_known = True
         self.shares = DemandShares(QuotaOptions())
         self.tokens = TokenPool(record.failure_domain, QuotaOptions())
         directory = Directory(record.instance, network.up)
-        directory.put_own(record, 0.0)
-        directory.listed(fleet, 0.0)
+        directory.put_local(record, 0.0)
+        directory.replace_listing(fleet, 0.0)
         self.exchange = Exchange(
             ExchangeParts(
                 instance=record.instance,
@@ -81,8 +81,8 @@
                 pool=DemandPool(record.failure_domain),
                 tokens=self.tokens,
                 configuration=self.configuration,
-                fetch_config=self.asked.append,
-                members_known=lambda: self.known,
+                fetch_config=self.fetched_from.append,
+                members_known=lambda: self.members_known,
                 clock=network.clock,
             )
         )
@@ -93,7 +93,7 @@
 
 
 def _fleet(count: int, domains: int = 1) -> tuple[list[_Daemon], _Network]:
-    """Return daemons in the order in which they relay for their domains."""
+    """Return daemons by domain, each domain in its relay order."""
     network = _Network()
     records = [
         MemberRecord(
@@ -116,7 +116,7 @@
 
 
 def test_the_first_that_is_reached_relays() -> None:
-    """Without it the next one does, and the first again once it is back."""
+    """The next one is the relay while the first is down, and the first again later."""
     (first, second, third), network = _fleet(3)
     for daemon in (first, second, third):
         daemon.round()
@@ -133,7 +133,7 @@
 
 
 def test_a_relayed_proof_is_dated_from_the_report() -> None:
-    """An answer that was held up on its way makes the proof older, not younger."""
+    """A delayed reply makes the proof older, not newer."""
     (relay, other), network = _fleet(2)
     relay.round()
     relay.configuration.record_proof(3, 99.5)
@@ -145,20 +145,20 @@
 
 
 def test_a_newer_version_at_the_relay_is_asked_for() -> None:
-    """It is fetched at once, and proves nothing of the present one."""
+    """It is fetched at once, and the reply is no proof for the active version."""
     (relay, other), _ = _fleet(2)
     relay.round()
     relay.configuration.activate(ConfigSet(4, "e"), b"", "test")
     relay.configuration.record_proof(4, 100.0)
     other.round()
-    assert other.asked == [relay.record.address]
+    assert other.fetched_from == [relay.record.address]
     assert other.configuration.proof_age_s(100.0) is None
 
 
 def test_a_relay_that_does_not_know_the_fleet_gives_no_share() -> None:
-    """It may have just started: its few reports are not the whole demand."""
+    """A relay that just started has few reports, which are not the total demand."""
     (relay, other), _ = _fleet(2)
-    relay.known = False
+    relay.members_known = False
     state = relay.exchange.handle_report(DemandReport("d1", {"w": 5.0}))
     assert isinstance(state, FleetState)
     assert state.daemons == 0
@@ -171,7 +171,7 @@
 
 
 def test_shares_over_domains_add_up_to_a_whole() -> None:
-    """Even and steady demand in two domains of three gives each daemon a sixth."""
+    """Even, steady demand in two domains of three daemons gives each a sixth."""
     daemons, network = _fleet(6, domains=2)
     for _ in range(STEADY_ROUNDS):
         for daemon in daemons:
@@ -186,19 +186,19 @@
 
 
 def test_without_an_answer_the_last_share_stands() -> None:
-    """A relay that is silent takes nothing away and gives nothing more."""
+    """An unresponsive relay leaves the shares unchanged."""
     (relay, other), network = _fleet(2)
     for _ in range(3):
         other.shares.spend(WORKSPACE, network.clock.now)
         relay.round()
         other.round()
     before = other.shares.share("w")
-    network.by_address[relay.record.address] = cast("Exchange", _Silent())
+    network.by_address[relay.record.address] = cast("Exchange", _Unresponsive())
     other.round()
     assert other.shares.share("w") == before
 
 
-class _Silent:
+class _Unresponsive:
     def handle_report(self, _report: DemandReport) -> PeerFailure:
         return PeerFailure(PeerProblem.TIMEOUT)
 
--- a/tests/mesh/test_fleet.py
+++ b/tests/mesh/test_fleet.py
@@ -1,4 +1,4 @@
-"""Whole daemons on loopback: what callers and backend servers see."""
+"""Complete daemons on loopback, from callers to backend servers."""
 
 import asyncio
 import socket
@@ -10,22 +10,22 @@
 from damaskbay.helpers.clock import monotonic_s
 from damaskbay.ports.peer import PeerAddress
 from tests.common import function_suite
-from tests.mesh.common import HOST, WAIT_S, Fleet, Node, fleet, until
+from tests.mesh.common import HOST, WAIT_S, Fleet, Node, run_fleet, until
 
 REVOKE_S = 5.0
-"""Bound on the use of a withdrawn key, as the fleet's settings have it."""
+"""Time limit for the use of a withdrawn key, as in the fleet's settings."""
 
 STEADY_S = 2.0
-"""Time until one daemon watches for the others and their proofs are fresh."""
+"""Time until one daemon watches the store for all, and proofs are fresh."""
 
-DEAF_S = 0.95
-"""How long watches may hear nothing before the store drops its history."""
+WATCH_GAP_S = 0.95
+"""Time for which watches may receive nothing before the store drops its history."""
 
 
 def _run(check: Callable[[Fleet], Awaitable[None]], **nodes: str) -> None:
     async def run() -> None:
-        async with fleet(**nodes) as made:
-            await check(made)
+        async with run_fleet(**nodes) as fleet:
+            await check(fleet)
 
     asyncio.run(run())
 
@@ -39,14 +39,14 @@
 
 
 def test_a_request_reaches_a_server_through_two_daemons() -> None:
-    """Headers are set by us, whatever the caller sent, and the key stays here."""
+    """Forged headers are replaced, and the API key is not forwarded."""
 
-    async def check(made: Fleet) -> None:
+    async def check(fleet: Fleet) -> None:
         forged = (("X-Tenant", "other"), ("X-Caller-Service", "other"))
-        answer = await made.nodes["b"].request("/safe/x?y=1", headers=forged)
+        answer = await fleet.nodes["b"].request("/safe/x?y=1", headers=forged)
         assert (answer.status, answer.body) == (200, b"i-a")
         assert _header(answer, "X-Server-Stamp") == "stamp-i-a"
-        request = made.nodes["a"].backend.seen[0]
+        request = fleet.nodes["a"].backend.seen[0]
         headers = dict(request.headers)
         assert request.target == "/safe/x?y=1"
         assert headers["X-Tenant"] == "t"
@@ -61,10 +61,10 @@
 
 
 def test_unknown_routes_and_keys_have_their_statuses() -> None:
-    """404 and 401, and an open route asks for no key."""
+    """Statuses are 404 and 401; an open route needs no key."""
 
-    async def check(made: Fleet) -> None:
-        node = made.nodes["a"]
+    async def check(fleet: Fleet) -> None:
+        node = fleet.nodes["a"]
         assert (await node.request("/none/")).status == 404
         assert (await node.request("/safe/", key="k9")).status == 401
         assert (await node.request("/safe/", key=None)).status == 401
@@ -74,11 +74,11 @@
 
 
 def test_a_withdrawn_key_is_refused_at_once() -> None:
-    """The next version is in force within a moment, everywhere."""
+    """The next version becomes active at every daemon."""
 
-    async def check(made: Fleet) -> None:
-        await made.publish(keys=("k2",))
-        for node in made.nodes.values():
+    async def check(fleet: Fleet) -> None:
+        await fleet.publish(keys=("k2",))
+        for node in fleet.nodes.values():
             await until(partial(_has_version, node, 2))
             assert (await node.request("/safe/")).status == 401
             assert (await node.request("/safe/", key="k2")).status == 200
@@ -87,16 +87,16 @@
 
 
 def test_a_deaf_watch_does_not_keep_a_withdrawn_key_alive() -> None:
-    """Watches that hear nothing prove nothing; then the store can't be reached."""
+    """Watches that miss a change, followed by a store outage, are no proof."""
 
-    async def check(made: Fleet) -> None:
-        node = made.nodes["a"]
+    async def check(fleet: Fleet) -> None:
+        node = fleet.nodes["a"]
         await asyncio.sleep(STEADY_S)
-        made.kv.faults.deaf = True
-        await made.publish(keys=("k2",))
+        fleet.kv.faults.deaf = True
+        await fleet.publish(keys=("k2",))
         withdrawn_at = monotonic_s()
-        await asyncio.sleep(DEAF_S)
-        made.kv.faults.status = 503
+        await asyncio.sleep(WATCH_GAP_S)
+        fleet.kv.faults.status = 503
         served_at = withdrawn_at
         while monotonic_s() < withdrawn_at + REVOKE_S + 1.0:
             sent_at = monotonic_s()
@@ -109,11 +109,11 @@
 
 
 def test_without_proof_keyed_requests_are_refused_and_open_ones_served() -> None:
-    """Once no proof is young enough, a key might have been withdrawn unseen."""
+    """Without a recent proof, a key may have been withdrawn unnoticed."""
 
-    async def check(made: Fleet) -> None:
-        node = made.nodes["a"]
-        made.kv.faults.status = 503
+    async def check(fleet: Fleet) -> None:
+        node = fleet.nodes["a"]
+        fleet.kv.faults.status = 503
         node.daemon._ingress.set_proof_valid(3.5)
         async with asyncio.timeout(WAIT_S):
             while (answer := await node.request("/safe/")).status == 200:
@@ -121,7 +121,7 @@
         assert answer.status == 503
         assert _header(answer, "Retry-After") is not None
         assert (await node.request("/open/", key=None)).status == 200
-        made.kv.faults.status = None
+        fleet.kv.faults.status = None
         async with asyncio.timeout(WAIT_S):
             while (await node.request("/safe/")).status != 200:
                 await asyncio.sleep(0.05)
@@ -130,57 +130,57 @@
 
 
 def test_a_proof_comes_through_peers_where_the_store_turns_one_away() -> None:
-    """A daemon that only its peers can vouch for goes on serving keyed requests."""
+    """A daemon with proofs only from peers keeps serving requests with a key."""
 
-    async def check(made: Fleet) -> None:
-        lonely = made.nodes["b"].daemon
-        store = lonely._surroundings.store
-        store._client.address = made.nodes["b"].backend.address  # type: ignore[attr-defined]
+    async def check(fleet: Fleet) -> None:
+        cut_off = fleet.nodes["b"].daemon
+        store = cut_off._surroundings.store
+        store._client.address = fleet.nodes["b"].backend.address  # type: ignore[attr-defined]
         store._client.close()  # type: ignore[attr-defined]
-        await made.publish(keys=("k1", "k2"))
-        await until(lambda: lonely.configuration.version == 2)
+        await fleet.publish(keys=("k1", "k2"))
+        await until(lambda: cut_off.configuration.version == 2)
         await asyncio.sleep(3.0)
-        age_s = lonely.configuration.proof_age_s(asyncio.get_running_loop().time())
+        age_s = cut_off.configuration.proof_age_s(asyncio.get_running_loop().time())
         assert age_s is not None
-        assert (await made.nodes["b"].request("/safe/", key="k2")).status == 200
+        assert (await fleet.nodes["b"].request("/safe/", key="k2")).status == 200
 
     _run(check, a="one", b="two")
 
 
 def test_an_unsafe_request_is_never_sent_twice() -> None:
-    """A lost answer is 502 for an unsafe request, and tried again for a safe one."""
+    """After a lost response an unsafe call gets 502; a safe call is retried."""
 
-    async def check(made: Fleet) -> None:
-        lost: list[Request] = []
+    async def check(fleet: Fleet) -> None:
+        lost_calls: list[Request] = []
 
-        async def lose(request: Request) -> Answer | None:
-            if request.target.startswith("/unsafe/") or len(lost) < 2:
-                lost.append(request)
+        async def lose_response(request: Request) -> Answer | None:
+            if request.target.startswith("/unsafe/") or len(lost_calls) < 2:
+                lost_calls.append(request)
                 return Answer(200, (), b"no stamp and no id")
             return None
 
         for name in ("a", "b"):
-            made.nodes[name].backend.behave = lose
-        unsafe = await made.nodes["c"].request("/unsafe/", method="POST")
+            fleet.nodes[name].backend.behave = lose_response
+        unsafe = await fleet.nodes["c"].request("/unsafe/", method="POST")
         assert unsafe.status == 502
-        seen = [made.nodes[name].backend.seen for name in ("a", "b")]
+        seen = [fleet.nodes[name].backend.seen for name in ("a", "b")]
         assert sum(len(requests) for requests in seen) == 1
-        safe = await made.nodes["c"].request("/safe/")
+        safe = await fleet.nodes["c"].request("/safe/")
         assert safe.status == 200
 
     _run(check, a="one", b="one", c="two")
 
 
 def test_a_request_turned_away_by_a_server_is_refused_truly() -> None:
-    """503 with a time to come back, and the request ran nowhere."""
+    """The response is 503 with a retry delay, as the call did not run."""
 
-    async def check(made: Fleet) -> None:
+    async def check(fleet: Fleet) -> None:
         async def full(request: Request) -> Answer | None:
             named = ("X-Request-Id", dict(request.headers)["X-Request-Id"])
             return Answer(503, (named, ("X-Not-Executed", "1")))
 
-        made.nodes["a"].backend.behave = full
-        answer = await made.nodes["b"].request("/unsafe/", method="POST")
+        fleet.nodes["a"].backend.behave = full
+        answer = await fleet.nodes["b"].request("/unsafe/", method="POST")
         assert answer.status == 503
         assert _header(answer, "Retry-After") is not None
 
@@ -188,35 +188,35 @@
 
 
 def test_a_draining_server_gets_no_new_requests() -> None:
-    """The report is acknowledged, and others take the work."""
+    """Its report is acknowledged, and other servers get the calls."""
 
-    async def check(made: Fleet) -> None:
-        assert await made.nodes["a"].beat("draining") == 200
-        before = len(made.nodes["a"].backend.seen)
+    async def check(fleet: Fleet) -> None:
+        assert await fleet.nodes["a"].beat("draining") == 200
+        before = len(fleet.nodes["a"].backend.seen)
         for _ in range(10):
-            answer = await made.nodes["c"].request("/safe/")
+            answer = await fleet.nodes["c"].request("/safe/")
             assert answer.body == b"i-b"
-        assert len(made.nodes["a"].backend.seen) == before
+        assert len(fleet.nodes["a"].backend.seen) == before
 
     _run(check, a="one", b="one", c="two")
 
 
 def test_the_timeout_of_the_route_is_kept() -> None:
-    """A request without an answer gets 504 at the timeout, and its send is cut."""
+    """A request without a response gets 504 at the timeout and is cancelled."""
 
-    async def check(made: Fleet) -> None:
-        await made.publish(Timeout="300ms")
-        node = made.nodes["b"]
+    async def check(fleet: Fleet) -> None:
+        await fleet.publish(Timeout="300ms")
+        node = fleet.nodes["b"]
         await until(lambda: node.daemon.configuration.version == 2)
 
         async def stuck(_request: Request) -> Answer | None:
             await asyncio.sleep(30)
             return None
 
-        made.nodes["a"].backend.behave = stuck
-        began = asyncio.get_running_loop().time()
+        fleet.nodes["a"].backend.behave = stuck
+        started_at = asyncio.get_running_loop().time()
         answer = await node.request("/safe/")
-        took_s = asyncio.get_running_loop().time() - began
+        took_s = asyncio.get_running_loop().time() - started_at
         assert answer.status == 504
         assert 0.25 <= took_s < 1.5
 
@@ -224,86 +224,86 @@
 
 
 def test_a_stop_cuts_no_request() -> None:
-    """What was read is answered, readiness says no, others still find the server."""
+    """Requests in flight complete, readiness fails, peers still reach the server."""
 
-    async def check(made: Fleet) -> None:
+    async def check(fleet: Fleet) -> None:
         async def slow(_request: Request) -> Answer | None:
             await asyncio.sleep(1.0)
             return None
 
-        made.nodes["a"].backend.behave = slow
-        asked = [
-            asyncio.create_task(made.nodes[name].request("/safe/"))
+        fleet.nodes["a"].backend.behave = slow
+        requests = [
+            asyncio.create_task(fleet.nodes[name].request("/safe/"))
             for name in ("a", "b")
         ]
         await asyncio.sleep(0.2)
-        made.nodes["a"].daemon.stop()
-        for answer in await asyncio.gather(*asked):
+        fleet.nodes["a"].daemon.stop()
+        for answer in await asyncio.gather(*requests):
             assert answer.status == 200
-        assert not made.nodes["a"].daemon.ready
-        assert (await made.nodes["b"].request("/safe/")).status == 200
-        await made.nodes["a"].run
-        assert (await made.nodes["b"].request("/safe/")).status == 503
+        assert not fleet.nodes["a"].daemon.ready
+        assert (await fleet.nodes["b"].request("/safe/")).status == 200
+        await fleet.nodes["a"].run
+        assert (await fleet.nodes["b"].request("/safe/")).status == 503
 
     _run(check, a="one", b="two")
 
 
 def test_a_taken_metrics_port_stops_nobody() -> None:
-    """Another program may have it: that is logged, and requests are served."""
+    """The daemon logs that the port is in use, and serves requests without metrics."""
 
-    async def check(made: Fleet) -> None:
+    async def check(fleet: Fleet) -> None:
         with socket.create_server((HOST, 0)) as taken:
             address = PeerAddress(HOST, taken.getsockname()[1])
-            node = await made.add("c", "two", metrics=address)
+            node = await fleet.add("c", "two", metrics=address)
             assert (await node.request("/open/", key=None)).status == 200
 
     _run(check, a="one", b="two")
 
 
 def test_a_restarted_daemon_serves_while_the_store_is_away() -> None:
-    """Its peers know its address, and bring it the set and its proof."""
+    """Its peers know its address and send the configuration set and its proof."""
 
-    async def check(made: Fleet) -> None:
-        node = made.nodes["b"]
+    async def check(fleet: Fleet) -> None:
+        node = fleet.nodes["b"]
         settings = node.daemon.settings
         node.run.cancel()
         await asyncio.sleep(0.1)
-        made.kv.faults.status = 503
-        again = await made.add_daemon(
+        fleet.kv.faults.status = 503
+        restarted = await fleet.add_daemon(
             "b",
             node.backend,
             callers=settings.callers,
             control=settings.control,
             peers=settings.peers,
         )
-        assert await again.beat() == 200
+        assert await restarted.beat() == 200
         async with asyncio.timeout(WAIT_S):
-            while (await again.request("/open/", key=None)).status != 200:
+            while (await restarted.request("/open/", key=None)).status != 200:
                 await asyncio.sleep(0.05)
 
     _run(check, a="one", b="two")
 
 
 def test_a_small_rate_is_one_pool_for_all_daemons() -> None:
-    """Far below a token a second and daemon, all of it is found from anywhere."""
+    """A small rate is pooled for the fleet, so each daemon can spend all its tokens."""
 
-    async def check(made: Fleet) -> None:
-        await made.publish(rate=4)
-        nodes = list(made.nodes.values())
+    async def check(fleet: Fleet) -> None:
+        await fleet.publish(rate=4)
+        nodes = list(fleet.nodes.values())
         for node in nodes:
             await until(lambda node=node: _has_version(node, 2))  # type: ignore[misc]
         await asyncio.sleep(2.0)
         counts: dict[str, list[int]] = {}
         for name in ("a", "b", "c"):
             counts[name] = [
-                (await made.nodes[name].request("/safe/")).status for _ in range(4)
+                (await fleet.nodes[name].request("/safe/")).status for _ in range(4)
             ]
         passed = sum(statuses.count(200) for statuses in counts.values())
         refused = sum(statuses.count(429) for statuses in counts.values())
         assert 3 <= passed <= 6, counts
         assert passed + refused == 12, counts
         await asyncio.sleep(1.5)
-        assert (await made.nodes["c"].request("/safe/")).status == 200
+        assert (await fleet.nodes["c"].request("/safe/")).status == 200
 
     _run(check, a="one", b="one", c="two")
 
--- a/tests/mesh/test_gate.py
+++ b/tests/mesh/test_gate.py
@@ -1,4 +1,4 @@
-"""Admission to the local server, awaited."""
+"""Admission control of the local server."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 
 
 def _run(left_s: float) -> tuple[int | Refusal, int | Refusal, Gate]:
-    """Enter twice where there is room for one; return what came of both."""
+    """Enter twice with one slot; return both results and the gate."""
 
     async def enter_twice() -> tuple[int | Refusal, int | Refusal, Gate]:
         gate = Gate(1, Random(1), monotonic_s())
@@ -40,7 +40,7 @@
 
 
 def test_a_call_that_waits_too_long_is_refused() -> None:
-    """Nothing else happens meanwhile: the look at the queue has to come by itself."""
+    """The timed check has to expire it, as no other event wakes the gate."""
     first, second, gate = _run(0.2)
     assert isinstance(first, int)
     assert isinstance(second, Refusal)
@@ -50,7 +50,7 @@
 
 
 def test_a_call_starts_when_a_slot_is_free() -> None:
-    """The slot goes to the call that waited."""
+    """A released slot goes to the waiting call."""
 
     async def hand_over() -> None:
         gate = Gate(1, Random(1), monotonic_s())
@@ -66,7 +66,7 @@
 
 
 def test_a_call_that_is_too_late_does_not_start() -> None:
-    """Room or not, a call past its deadline is not run."""
+    """A call past its deadline is refused even with a free slot."""
 
     async def enter() -> None:
         gate = Gate(1, Random(1), monotonic_s())
--- a/tests/mesh/test_neighbours.py
+++ b/tests/mesh/test_neighbours.py
@@ -1,4 +1,4 @@
-"""Which links a daemon keeps, and who relays."""
+"""Selection of links and relays."""
 
 import unittest
 from collections import Counter
@@ -34,27 +34,27 @@
 
 
 def test_a_small_fleet_is_linked_whole() -> None:
-    """Below the bounds of a pool everybody is a neighbour."""
+    """Below the limits per pool, every daemon is a neighbour."""
     records = _fleet(12)
     for own in records:
         assert len(wanted_neighbours(records, own)) == len(records) - 1
 
 
 def test_links_are_bounded_and_every_pool_is_reached() -> None:
-    """The number of links does not grow with other domains, except at relays."""
+    """The number of links does not grow with remote domains, except at relays."""
     records = _fleet(300)
     relays = {
         record.instance
         for domain in DOMAINS
         for record in relay_order(records, domain)[:RELAYS_PER_DOMAIN]
     }
-    most = len(POOLS) * (LOCAL_LINKS_PER_POOL + REMOTE_LINKS_PER_POOL) + len(relays)
+    limit = len(POOLS) * (LOCAL_LINKS_PER_POOL + REMOTE_LINKS_PER_POOL) + len(relays)
     by_instance = {record.instance: record for record in records}
     callers: Counter[str] = Counter()
     for own in records:
         wanted = wanted_neighbours(records, own)
         assert own.instance not in wanted
-        assert own.instance in relays or len(wanted) <= most
+        assert own.instance in relays or len(wanted) <= limit
         reached = {by_instance[name].pool for name in wanted}
         assert reached == set(POOLS)
         callers.update(wanted)
@@ -62,12 +62,12 @@
 
 
 def test_all_agree_on_the_relays() -> None:
-    """The order depends on the daemons alone, not on the order of their records."""
+    """The relay order does not depend on the order of the records."""
     records = _fleet(40)
     for domain in DOMAINS:
         order = [item.instance for item in relay_order(records, domain)]
-        back = [item.instance for item in relay_order(reversed(records), domain)]
-        assert order == back
+        reordered = [item.instance for item in relay_order(reversed(records), domain)]
+        assert order == reordered
         assert len(order) == 10
 
 
--- a/tests/mesh/test_parts.py
+++ b/tests/mesh/test_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the event-driven daemon that decide, in virtual time."""
+"""Components of the event-driven daemon, in virtual time."""
 
 import random
 import unittest
@@ -17,7 +17,7 @@
 from damaskbay.core.pressure import HIGHEST_LEVEL, EdgePressure
 from damaskbay.core.retry.repeats import RepeatBudget, RepeatOptions
 from damaskbay.mesh.configuration import Configuration
-from damaskbay.mesh.directory import UNHEARD_S, Directory, MemberRecord
+from damaskbay.mesh.directory import NOTE_TIMEOUT_S, Directory, MemberRecord
 from damaskbay.mesh.local_server import Heartbeat, LocalServer
 from damaskbay.mesh.messages import Note
 from damaskbay.mesh.records import decode_record, encode_record
@@ -51,7 +51,7 @@
 
 
 def test_an_overtaken_report_is_not_taken() -> None:
-    """Reports are ordered by the server's start, then by their number."""
+    """Reports are ordered by the server's start, then by their sequence."""
     local = LocalServer(2.0, lambda: None)
     assert local.heartbeat(replace(READY, sequence=3), 0.0)
     assert not local.heartbeat(replace(READY, sequence=2, slots=1), 0.1)
@@ -63,7 +63,7 @@
 
 
 def test_a_leaving_server_gets_no_call_after_its_time() -> None:
-    """Calls that were let in may still go for less than the drain time."""
+    """Admitted calls may still be sent, but for less than the drain time."""
     local = LocalServer(2.0, lambda: None)
     local.heartbeat(READY, 0.0)
     local.heartbeat(replace(READY, sequence=2, state=ServerState.DRAINING), 1.0)
@@ -76,7 +76,7 @@
 
 
 def test_a_deregistered_server_is_gone() -> None:
-    """Only the server that is here, of this start or a later one, can leave."""
+    """Another server, or an earlier start of this one, can't deregister it."""
     local = LocalServer(2.0, lambda: None)
     local.heartbeat(READY, 0.0)
     assert not local.deregister("i-9", None, 0.5)
@@ -87,9 +87,9 @@
 
 
 def test_a_restarted_daemon_remembers_that_its_server_was_leaving() -> None:
-    """A late report of the same start does not bring it back."""
+    """A late report of the same server start doesn't make it ready again."""
     local = LocalServer(2.0, lambda: None)
-    local.adopt(replace(READY, state=ServerState.DRAINING, sequence=0), 0.0)
+    local.restore(replace(READY, state=ServerState.DRAINING, sequence=0), 0.0)
     assert local.state.value == "starting"
     local.heartbeat(READY, 0.0)
     assert local.state.value == "draining"
@@ -98,44 +98,44 @@
 
 
 def test_a_restarted_daemon_serves_with_what_it_knew() -> None:
-    """The record of its earlier start will do until the next report."""
+    """The record of its earlier start is used until the next report."""
     local = LocalServer(2.0, lambda: None)
-    local.adopt(replace(READY, sequence=0), 0.0)
+    local.restore(replace(READY, sequence=0), 0.0)
     assert (local.server, local.slots, local.state.value) == ("i-1", 8, "ready")
     assert local.heartbeat(replace(READY, slots=9, sequence=4), 0.5)
-    local.adopt(replace(READY, server="i-0"), 0.6)
+    local.restore(replace(READY, server="i-0"), 0.6)
     assert (local.server, local.slots) == ("i-1", 9)
 
 
 def test_what_a_daemon_says_goes_before_its_record() -> None:
-    """A record read later, but written earlier, does not undo it."""
+    """A record that is read later but was written earlier is ignored."""
     directory = Directory("me", lambda _address: True)
-    directory.heard(_note(state=ServerState.DRAINING), 1.0)
+    directory.put_note(_note(state=ServerState.DRAINING), 1.0)
     directory.put(RECORD, 1.5)
     assert not directory.servers("p")
     directory.put(replace(RECORD, incarnation=6), 1.6)
     assert [view.instance for view in directory.servers("p")] == ["d1"]
-    directory.heard(_note(state=ServerState.DRAINING), 1.7)
-    assert directory.servers("p"), "a note of an earlier start counts no more"
+    directory.put_note(_note(state=ServerState.DRAINING), 1.7)
+    assert directory.servers("p"), "a note of an earlier start was not ignored"
 
 
 def test_a_lapsed_record_keeps_a_daemon_that_is_heard() -> None:
-    """While the store forgets leases, links tell who lives."""
+    """Notes keep a daemon alive while the store drops leases."""
     directory = Directory("me", lambda _address: True)
     directory.put(RECORD, 0.0)
-    directory.heard(_note(), 1.0)
-    directory.listed([], 2.0)
+    directory.put_note(_note(), 1.0)
+    directory.replace_listing([], 2.0)
     assert directory.servers("p")
-    directory.forget(1.0 + UNHEARD_S + 0.1)
+    directory.remove_expired(1.0 + NOTE_TIMEOUT_S + 0.1)
     assert not directory.servers("p")
     assert "d1" not in directory.instances()
 
 
 def test_servers_without_a_link_get_nothing() -> None:
-    """A daemon that can't be reached is known, but not chosen."""
+    """An unreachable daemon stays known, but isn't selected."""
     up = {"now": True}
     directory = Directory("me", lambda _address: up["now"])
-    directory.heard(_note(), 0.0)
+    directory.put_note(_note(), 0.0)
     assert directory.servers("p")
     up["now"] = False
     directory.invalidate()
@@ -144,7 +144,7 @@
 
 
 def test_records_survive_the_store() -> None:
-    """What is written is read again; other bytes are no record."""
+    """Records survive a round trip; other bytes are rejected."""
     assert decode_record(encode_record(RECORD)) == RECORD
     for bad in (
         b"",
@@ -157,7 +157,7 @@
 
 
 def test_a_set_never_goes_back() -> None:
-    """A lower version is not taken, and a proof counts for its version only."""
+    """A lower version is not activated, and a proof holds for its version only."""
     configuration = Configuration()
     assert configuration.activate(ConfigSet(5, "a"), b"5", "store")
     assert not configuration.activate(ConfigSet(4, "b"), b"4", "peer")
@@ -170,7 +170,7 @@
 
 
 def test_calls_are_found_again_by_the_ids_of_what_they_call() -> None:
-    """The longest running id before a separator is the caller's."""
+    """The caller is the running call with the longest id before a separator."""
     running = RunningCalls()
     call = running.add(CONTEXT)
     assert running.caller_of("a1.b2") is call
@@ -186,7 +186,7 @@
 
 
 def test_the_workspace_ranks_before_the_route() -> None:
-    """An unimportant route of an important workspace goes first."""
+    """The workspace's priority counts before that of the route."""
     config = ConfigSet(
         1,
         "",
@@ -211,7 +211,7 @@
 
 
 def test_weights_hold_over_short_spans() -> None:
-    """Of any hundred calls in a row each pool gets its part within one or two."""
+    """In any hundred consecutive calls each pool gets its part, plus or minus two."""
     parts = (WeightedPool("a", 90), WeightedPool("b", 10))
     choice = WeightedChoice(random.Random(3))
     route = replace(ROUTE, weighted_pools=parts)
@@ -222,7 +222,7 @@
 
 
 def test_repeats_stay_within_the_ratio() -> None:
-    """Repeats never exceed what first sends earned and what was saved."""
+    """Retries never exceed the ratio of first attempts plus the saved budget."""
     budget = RepeatBudget(RepeatOptions(ratio=0.2, saved=4.0))
     rng = random.Random(5)
     firsts = repeats = 0
@@ -237,7 +237,7 @@
 
 
 def test_nested_repeats_leave_a_reserve_for_root_requests() -> None:
-    """A nested call is turned away while a root request may still be repeated."""
+    """A nested retry is refused while a root request may still be retried."""
     budget = RepeatBudget(RepeatOptions(ratio=0.0, saved=4.0))
     while budget.repeat(nested=True):
         pass
@@ -247,7 +247,7 @@
 
 
 def test_the_fewer_pass_the_later_the_refused_come_back() -> None:
-    """They would come in vain, and have those that pass wait."""
+    """Earlier retries would be refused again and delay admitted calls."""
 
     def longest(level: int) -> float:
         pressure = EdgePressure(random.Random(1))
@@ -261,11 +261,11 @@
 
 
 def test_the_edge_refuses_the_least_important_first() -> None:
-    """A level of 1,500 lets ranks 0 whole and 1 half, and fades when old."""
+    """A level of 1,500 admits all of rank 0 and half of rank 1, until it expires."""
     pressure = EdgePressure(random.Random(1))
     assert pressure.refusal("r", 2, "w", 1.0, 0.0) is None
 
-    def passed(rank: int, now: float) -> int:
+    def admitted(rank: int, now: float) -> int:
         pressure.heard("r", 1500, now)
         return sum(
             pressure.refusal("r", rank, "w", 1.0, now) is None for _ in range(200)
@@ -273,9 +273,9 @@
 
     for step in range(40):
         pressure.heard("r", 1500, step * 0.01)
-    assert passed(0, 0.4) == 200
-    assert 60 <= passed(1, 0.4) <= 140
-    assert passed(2, 0.4) <= 20
+    assert admitted(0, 0.4) == 200
+    assert 60 <= admitted(1, 0.4) <= 140
+    assert admitted(2, 0.4) <= 20
     assert pressure.refusal("r", 2, "w", 1.0, 5.0) is None
     pressure.heard("q", HIGHEST_LEVEL, 0.0)
     assert pressure.refusal("q", 99, "w", 1.0, 0.0) is None
--- a/tests/mesh/test_registry.py
+++ b/tests/mesh/test_registry.py
@@ -1,4 +1,4 @@
-"""The daemon's record in the store, against a store that misbehaves."""
+"""The daemon's record in a store that fails."""
 
 import asyncio
 import unittest
@@ -7,7 +7,7 @@
 
 from damaskbay.mesh.directory import Directory, MemberRecord
 from damaskbay.mesh.records import decode_record, encode_record
-from damaskbay.mesh.registry import RETRY_S, MemberWatch, Registration
+from damaskbay.mesh.registry import RETRY_DELAY_S, MemberWatch, Registration
 from damaskbay.ports.fleet import ServerState
 from damaskbay.ports.peer import PeerAddress
 from damaskbay.ports.store import (
@@ -24,26 +24,26 @@
     "d1", 5, "zone", PeerAddress("10.0.0.1", 7000), "p", ServerState.READY, 4, "i", 9
 )
 RETURN_S = 2.0
-"""The users' bound: records are back about two seconds after the store."""
+"""Required time, seconds: records return this soon after the store."""
 
 
 @dataclass
 class _Store:
-    """One key, one lease; `lose` does a write and answers nothing."""
+    """A store of one key and one lease; `lose_reply` loses the reply to a write."""
 
     revision: int = 1
     item: StoreItem | None = None
     lease: int = 0
     problem: StoreProblem | None = None
-    lose: bool = False
+    lose_reply: bool = False
     writes: int = 0
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def _failure(self) -> StoreFailure | None:
         return None if self.problem is None else StoreFailure(self.problem)
 
-    def lapse(self) -> None:
-        """Let the lease end, with its key."""
+    def expire_lease(self) -> None:
+        """Expire the lease and its key."""
         self.lease += 1
         self.item = None
         self.revision += 1
@@ -72,7 +72,7 @@
             return StoreFailure(StoreProblem.NO_LEASE)
         self.revision += 1
         self.item = StoreItem(key, value, self.revision)
-        if self.lose:
+        if self.lose_reply:
             return StoreFailure(StoreProblem.UNANSWERED)
         return self.revision
 
@@ -88,25 +88,25 @@
         return None if lease == self.lease else StoreFailure(StoreProblem.NO_LEASE)
 
     def record(self) -> MemberRecord | None:
-        """Return the record that stands there."""
+        """Return the stored record."""
         return None if self.item is None else decode_record(self.item.value or b"")
 
 
-class _Own:
-    """The record to write; tests change it."""
+class _Daemon:
+    """The daemon's current record; tests change it."""
 
     def __init__(self) -> None:
         self.record = RECORD
 
 
-def _run(check: Callable[[_Store, _Own, Registration], Awaitable[None]]) -> None:
+def _run(check: Callable[[_Store, _Daemon, Registration], Awaitable[None]]) -> None:
     async def run() -> None:
-        store, own = _Store(), _Own()
-        registration = Registration(store, KEY, lambda: own.record)
+        store, daemon = _Store(), _Daemon()
+        registration = Registration(store, KEY, lambda: daemon.record)
         task = asyncio.create_task(registration.run())
         async with asyncio.timeout(10):
             await _until(lambda: store.record() == RECORD)
-            await check(store, own, registration)
+            await check(store, daemon, registration)
         task.cancel()
 
     asyncio.run(run())
@@ -118,13 +118,15 @@
 
 
 def test_a_record_that_lapsed_in_an_outage_is_back_in_time() -> None:
-    """The store forgot it while it was away; it returns within the users' bound."""
+    """A record that expired in an outage returns within the required time."""
 
-    async def check(store: _Store, _own: _Own, registration: Registration) -> None:
+    async def check(
+        store: _Store, _daemon: _Daemon, registration: Registration
+    ) -> None:
         store.problem = StoreProblem.UNAVAILABLE
-        registration.changed()
-        await asyncio.sleep(2 * RETRY_S)
-        store.lapse()
+        registration.schedule_write()
+        await asyncio.sleep(2 * RETRY_DELAY_S)
+        store.expire_lease()
         store.problem = None
         async with asyncio.timeout(RETURN_S):
             await _until(lambda: store.record() == RECORD)
@@ -133,14 +135,14 @@
 
 
 def test_a_lost_answer_does_not_lock_the_record() -> None:
-    """The write was done: the next one finds the revision and goes on."""
+    """A write without a reply has changed the revision; the next write succeeds."""
 
-    async def check(store: _Store, own: _Own, registration: Registration) -> None:
-        store.lose = True
-        own.record = replace(RECORD, state=ServerState.DRAINING)
+    async def check(store: _Store, daemon: _Daemon, registration: Registration) -> None:
+        store.lose_reply = True
+        daemon.record = replace(RECORD, state=ServerState.DRAINING)
         assert not await registration.write_now(1.0)
-        store.lose = False
-        own.record = replace(RECORD, state=ServerState.GONE)
+        store.lose_reply = False
+        daemon.record = replace(RECORD, state=ServerState.GONE)
         assert await registration.write_now(1.0)
         found = store.record()
         assert found is not None
@@ -150,38 +152,38 @@
 
 
 def test_a_write_done_late_does_not_undo_a_newer_one() -> None:
-    """It was sent on condition of a revision that is gone by then."""
+    """A delayed write expects an older revision and is rejected."""
 
-    async def check(store: _Store, own: _Own, registration: Registration) -> None:
+    async def check(store: _Store, daemon: _Daemon, registration: Registration) -> None:
         assert store.item is not None
         before = store.item.revision
-        own.record = replace(RECORD, state=ServerState.DRAINING)
+        daemon.record = replace(RECORD, state=ServerState.DRAINING)
         assert await registration.write_now(1.0)
         late = await store.write(
             KEY, encode_record(RECORD), expected=before, lease=store.lease
         )
         assert isinstance(late, StoreConflict)
-        assert store.record() == own.record
+        assert store.record() == daemon.record
 
     _run(check)
 
 
 def test_a_leaving_server_is_told_even_without_the_store() -> None:
-    """The write gives up after its time, and is made up for later."""
+    """The write times out, and is repeated once the store is back."""
 
-    async def check(store: _Store, own: _Own, registration: Registration) -> None:
+    async def check(store: _Store, daemon: _Daemon, registration: Registration) -> None:
         store.problem = StoreProblem.UNAVAILABLE
-        own.record = replace(RECORD, state=ServerState.DRAINING)
+        daemon.record = replace(RECORD, state=ServerState.DRAINING)
         assert not await registration.write_now(0.2)
         store.problem = None
-        registration.changed()
-        await _until(lambda: store.record() == own.record)
+        registration.schedule_write()
+        await _until(lambda: store.record() == daemon.record)
 
     _run(check)
 
 
 def test_the_watch_tells_the_directory_and_the_daemon_itself() -> None:
-    """The own record of an earlier start goes to the daemon, others' to the list."""
+    """The daemon gets its own earlier record, the directory those of peers."""
 
     async def run() -> None:
         store = _Store()
@@ -194,11 +196,11 @@
                 "members/",
                 directory,
                 on_change=lambda: None,
-                own=own,
-                on_own=found.append,
+                instance=instance,
+                on_local_record=found.append,
                 clock=lambda: 1.0,
             )
-            for own in ("me", "d1")
+            for instance in ("me", "d1")
         ]
         tasks = [asyncio.create_task(watch.run()) for watch in watches]
         async with asyncio.timeout(5):
--- a/tests/mesh/test_stopping.py
+++ b/tests/mesh/test_stopping.py
@@ -1,4 +1,4 @@
-"""The graceful stop cuts nobody who was let in."""
+"""The graceful shutdown cuts off no accepted request."""
 
 import asyncio
 import unittest
@@ -29,7 +29,7 @@
     return GracefulStop(server, parts, target, links)
 
 
-async def _ask(server: HttpServer) -> Answer | HttpFailure:
+async def _request(server: HttpServer) -> Answer | HttpFailure:
     client = HttpClient(server.address, HttpClientOptions())
     try:
         return await client.send(REQUEST, timeout_s=1.0)
@@ -38,25 +38,25 @@
 
 
 def test_nobody_is_let_in_after_the_last_look() -> None:
-    """A request that comes while the daemon ends would be read and then cut."""
+    """A request accepted after the last check would be read and then cut off."""
 
-    async def play() -> None:
+    async def run() -> None:
         async def answer(_: Arrival) -> Answer:
             return Answer(200)
 
         async with HttpServer(PeerAddress("127.0.0.1", 0), answer, CallerLimits()) as s:
             await _stop(s, 0).run(GRACE_S)
-            outcome = await _ask(s)
+            outcome = await _request(s)
             assert isinstance(outcome, HttpFailure)
             assert outcome.problem is HttpProblem.NOT_SENT
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 def test_callers_that_go_on_coming_are_not_cut() -> None:
-    """Each that was let in has its answer when the stop ends."""
+    """Every accepted request has its response when the shutdown ends."""
 
-    async def play() -> None:
+    async def run() -> None:
         started = ended = 0
 
         async def answer(_: Arrival) -> Answer:
@@ -70,18 +70,18 @@
             stopping = asyncio.create_task(_stop(s, 0).run(GRACE_S))
             calls = []
             while not stopping.done():
-                calls.append(asyncio.create_task(_ask(s)))
+                calls.append(asyncio.create_task(_request(s)))
                 await asyncio.sleep(0.02)
             assert started == ended > 0
             await asyncio.gather(*calls)
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 def test_the_own_server_may_call_while_it_runs_something() -> None:
-    """Its nested calls come over new connections until its work is over."""
+    """Its nested calls may open new connections while it runs a call."""
 
-    async def play() -> None:
+    async def run() -> None:
         async def answer(_: Arrival) -> Answer:
             return Answer(200)
 
@@ -89,11 +89,11 @@
             stop = _stop(s, 1)
             stopping = asyncio.create_task(stop.run(GRACE_S))
             await asyncio.sleep(0.5 * GRACE_S)
-            assert cast("Answer", await _ask(s)).status == 200
+            assert cast("Answer", await _request(s)).status == 200
             stop.target.in_flight = 0
             await stopping
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 def load_tests(*_: object) -> unittest.TestSuite:
--- a/tests/mesh/test_tokens.py
+++ b/tests/mesh/test_tokens.py
@@ -1,4 +1,4 @@
-"""Whom a daemon asks for a token of a small workspace, and what it makes of it."""
+"""Token requests of small workspaces, and how their replies are used."""
 
 import asyncio
 import unittest
@@ -23,10 +23,10 @@
 HOME = TokenPool("near", QuotaOptions())
 HOME.set_members({domain: {f"{domain}0", f"{domain}1"} for domain in DOMAINS}, 0.0)
 HOME_DOMAIN = HOME.home(WORKSPACE.name)
-OTHER_DOMAIN = next(domain for domain in DOMAINS if domain != HOME_DOMAIN)
+REMOTE_DOMAIN = next(domain for domain in DOMAINS if domain != HOME_DOMAIN)
 GRANTED = Grant(True, 0.0, 0.0)
-SPENT = Grant(False, 0.2, 1.5)
-SILENT = PeerFailure(PeerProblem.TIMEOUT)
+EXHAUSTED = Grant(False, 0.2, 1.5)
+UNRESPONSIVE = PeerFailure(PeerProblem.TIMEOUT)
 
 
 def _record(instance: str, domain: str) -> MemberRecord:
@@ -35,11 +35,11 @@
 
 
 class _Daemon:
-    """A daemon whose questions are written down; `replies` by the one asked."""
+    """A daemon that records its token requests; `replies` are by holder."""
 
     def __init__(self, instance: str, domain: str, *, is_relay: bool) -> None:
         self.now = 100.0
-        self.asked: list[tuple[str, int]] = []
+        self.requested: list[tuple[str, int]] = []
         self.replies: dict[str, Any] = {}
         self.pool = TokenPool(domain, QuotaOptions())
         members = {name: {f"{name}0", f"{name}1"} for name in DOMAINS}
@@ -73,56 +73,56 @@
 
     async def _request(self, peer: PeerAddress, message: Any, **_: Any) -> Any:
         name = self._names[peer]
-        self.asked.append((name, message.hops))
-        return self.replies.get(name, SILENT)
+        self.requested.append((name, message.hops))
+        return self.replies.get(name, UNRESPONSIVE)
 
     def spend(self) -> Refusal | None:
         return asyncio.run(self.tokens.spend(WORKSPACE))
 
 
 def test_the_relay_of_the_home_is_asked() -> None:
-    """One question, to the first relay of the home domain."""
-    daemon = _Daemon(f"{OTHER_DOMAIN}1", OTHER_DOMAIN, is_relay=False)
+    """One request goes to the first relay of the home domain."""
+    daemon = _Daemon(f"{REMOTE_DOMAIN}1", REMOTE_DOMAIN, is_relay=False)
     daemon.replies[f"{HOME_DOMAIN}0"] = GRANTED
     assert daemon.spend() is None
-    assert daemon.asked == [(f"{HOME_DOMAIN}0", 1)]
+    assert daemon.requested == [(f"{HOME_DOMAIN}0", 1)]
 
 
 def test_a_silent_home_is_asked_by_way_of_the_own_relay() -> None:
-    """And left alone for a while, so that nobody waits for it again."""
-    daemon = _Daemon(f"{OTHER_DOMAIN}1", OTHER_DOMAIN, is_relay=False)
-    daemon.replies[f"{OTHER_DOMAIN}0"] = GRANTED
+    """An unresponsive holder gets no requests for a while, so that no call waits."""
+    daemon = _Daemon(f"{REMOTE_DOMAIN}1", REMOTE_DOMAIN, is_relay=False)
+    daemon.replies[f"{REMOTE_DOMAIN}0"] = GRANTED
     assert daemon.spend() is None
-    assert daemon.asked == [(f"{HOME_DOMAIN}0", 1), (f"{OTHER_DOMAIN}0", 1)]
-    daemon.asked.clear()
+    assert daemon.requested == [(f"{HOME_DOMAIN}0", 1), (f"{REMOTE_DOMAIN}0", 1)]
+    daemon.requested.clear()
     daemon.replies[f"{HOME_DOMAIN}1"] = GRANTED
     assert daemon.spend() is None
-    assert daemon.asked == [(f"{HOME_DOMAIN}1", 1)]
-    daemon.asked.clear()
+    assert daemon.requested == [(f"{HOME_DOMAIN}1", 1)]
+    daemon.requested.clear()
     daemon.now += HOLDER_BACKOFF_S + 0.1
     daemon.replies[f"{HOME_DOMAIN}0"] = GRANTED
     assert daemon.spend() is None
-    assert daemon.asked == [(f"{HOME_DOMAIN}0", 1)]
+    assert daemon.requested == [(f"{HOME_DOMAIN}0", 1)]
 
 
 def test_nobody_is_asked_again_before_the_next_token() -> None:
-    """Callers are told when they may expect one, which is later."""
-    daemon = _Daemon(f"{OTHER_DOMAIN}1", OTHER_DOMAIN, is_relay=False)
-    daemon.replies[f"{HOME_DOMAIN}0"] = SPENT
+    """The retry delay of callers is longer than that of the daemon."""
+    daemon = _Daemon(f"{REMOTE_DOMAIN}1", REMOTE_DOMAIN, is_relay=False)
+    daemon.replies[f"{HOME_DOMAIN}0"] = EXHAUSTED
     for _ in range(3):
         refusal = daemon.spend()
         assert refusal is not None
         assert refusal.reason is Reason.RATE_EXCEEDED
         assert refusal.not_run
-        assert refusal.retry_after_s == SPENT.wait_s
-    assert len(daemon.asked) == 1
-    daemon.now += SPENT.next_s + 0.01
+        assert refusal.retry_after_s == EXHAUSTED.wait_s
+    assert len(daemon.requested) == 1
+    daemon.now += EXHAUSTED.next_s + 0.01
     daemon.replies[f"{HOME_DOMAIN}0"] = GRANTED
     assert daemon.spend() is None
 
 
 def test_the_home_grants_by_itself() -> None:
-    """Its relay asks nobody, and only for the daemons that rely on it."""
+    """Its relay requests nothing, and grants only for daemons that rely on it."""
     daemon = _Daemon(f"{HOME_DOMAIN}0", HOME_DOMAIN, is_relay=True)
     assert daemon.spend() is not None
     daemon.now += 2.0
@@ -130,25 +130,25 @@
         daemon.pool.reported(instance, daemon.now)
     daemon.now += 0.5
     assert daemon.spend() is None
-    assert daemon.asked == []
+    assert daemon.requested == []
 
 
 def test_a_question_does_not_go_round_for_ever() -> None:
-    """Daemons that hold each other for the relay stop after a few hops."""
+    """Daemons that take each other for the relay stop after a few hops."""
     daemon = _Daemon(f"{HOME_DOMAIN}1", HOME_DOMAIN, is_relay=False)
     wanted = TokenRequest(WORKSPACE.name, TOKEN_MAX_HOPS + 1)
-    answer = asyncio.run(daemon.tokens.handle_request(wanted))
-    assert not answer.granted
-    assert answer.wait_s > 0.0
-    assert daemon.asked == []
+    grant = asyncio.run(daemon.tokens.handle_token_request(wanted))
+    assert not grant.granted
+    assert grant.wait_s > 0.0
+    assert daemon.requested == []
 
 
 def test_an_unknown_workspace_gets_no_token() -> None:
-    """The one that asks has a newer set; it is told to come back."""
+    """The requesting daemon has a newer configuration set; it gets a retry delay."""
     daemon = _Daemon(f"{HOME_DOMAIN}0", HOME_DOMAIN, is_relay=True)
-    answer = asyncio.run(daemon.tokens.handle_request(TokenRequest("new", 1)))
-    assert not answer.granted
-    assert answer.wait_s > 0.0
+    grant = asyncio.run(daemon.tokens.handle_token_request(TokenRequest("new", 1)))
+    assert not grant.granted
+    assert grant.wait_s > 0.0
 
 
 def load_tests(*_: object) -> unittest.TestSuite:
