--- a/damaskbay/mesh/app.py
+++ b/damaskbay/mesh/app.py
@@ -93,7 +93,7 @@
         options = QuotaOptions(settings.quota_overage, settings.quota_slack)
         self._shares = DemandShares(options)
         self._token_pool = TokenPool(settings.failure_domain, options)
-        self._make_store_clients()
+        self._make_control_plane()
         self._repeats = make_retry_budget(settings)
         self._telemetry = BoundTelemetry()
         shared = Shared(
@@ -211,7 +211,7 @@
         if self.local.deregister(server, born_ms, monotonic_s()):
             await self._registration.write_now(DRAIN_WRITE_TIMEOUT_S)
 
-    def _make_store_clients(self) -> None:
+    def _make_control_plane(self) -> None:
         environment = self._surroundings
         self._registration = Registration(
             environment.store,
--- a/damaskbay/mesh/config_watch.py
+++ b/damaskbay/mesh/config_watch.py
@@ -68,7 +68,7 @@
             if not self._needed():
                 await asyncio.sleep(NEEDED_CHECK_INTERVAL_S)
                 continue
-            began_at = self._clock()
+            started_at = self._clock()
             reading = await self._store.read(self._prefix)
             if isinstance(reading, StoreFailure):
                 self._record_store_failure(reading)
@@ -77,12 +77,12 @@
             self._record_store_success()
             for item in reading.items:
                 if item.key == self._key and item.value is not None:
-                    self._apply_stored(item.value, began_at)
+                    self._apply_stored(item.value, started_at)
             await self._watch_changes(reading.revision)
 
     async def _watch_changes(self, revision: int) -> None:
         while self._needed():
-            began_at = self._clock()
+            started_at = self._clock()
             reading = await self._store.watch(
                 self._prefix, after=revision, wait_s=WATCH_TIMEOUT_S
             )
@@ -96,9 +96,11 @@
             values = [item.value for item in reading.items if item.key == self._key]
             for value in values:
                 if value is not None:
-                    self._apply_stored(value, began_at)
+                    self._apply_stored(value, started_at)
             if not values:
-                self._configuration.record_proof(self._configuration.version, began_at)
+                self._configuration.record_proof(
+                    self._configuration.version, started_at
+                )
 
     def activate_document(self, document: bytes, source: str) -> None:
         """Activate a stored value if it is a newer configuration set."""
@@ -111,11 +113,11 @@
             return
         self._configuration.activate(decoded, document, source)
 
-    def _apply_stored(self, document: bytes, began_at: float) -> None:
+    def _apply_stored(self, document: bytes, started_at: float) -> None:
         if document != self._configuration.document:
             self.activate_document(document, "store")
         if document == self._configuration.document:
-            self._configuration.record_proof(self._configuration.version, began_at)
+            self._configuration.record_proof(self._configuration.version, started_at)
 
     def _record_store_failure(self, failure: StoreFailure) -> None:
         if self.store_reached:
@@ -142,7 +144,7 @@
 
 
 class PeerConfig:
-    """Fetches newer configuration sets and proofs from peers."""
+    """Fetches newer configuration sets and proofs from peers, not the store."""
 
     def __init__(
         self,
@@ -188,7 +190,7 @@
         task.add_done_callback(self._fetch_tasks.discard)
 
     async def _fetch(self, peer: PeerAddress) -> None:
-        began_at = self._clock()
+        started_at = self._clock()
         wanted = ConfigWanted(self._configuration.version)
         reply = await self._request(peer, wanted, timeout_s=PEER_TIMEOUT_S)
         if not isinstance(reply, ConfigHeld):
@@ -197,5 +199,5 @@
             self._watch.activate_document(reply.document, str(peer))
         if reply.proof_age_s is not None:
             self._configuration.record_proof(
-                reply.version, began_at - reply.proof_age_s
+                reply.version, started_at - reply.proof_age_s
             )
--- a/damaskbay/mesh/const.py
+++ b/damaskbay/mesh/const.py
@@ -37,7 +37,7 @@
 """Time to keep serving after SIGTERM, seconds: two readiness checks, 1 s apart."""
 
 SERVE_AFTER_SIGTERM_SHARE: Final = 0.4
-"""Maximum part of the grace time for that; running calls need the rest to end."""
+"""Limit of that time as a part of the grace time; running calls need the rest."""
 
 STOP_MARGIN_S: Final = 0.9
 """Margin before the platform kills a stopping process, seconds."""
--- a/damaskbay/mesh/dialect.py
+++ b/damaskbay/mesh/dialect.py
@@ -26,7 +26,7 @@
 
     @property
     def reserved_headers(self) -> frozenset[str]:
-        """Return the headers, in lower case, that are removed from requests."""
+        """Return the headers, in lower case, that callers can't set."""
         return frozenset(
             name.lower()
             for name in (
--- a/damaskbay/mesh/directory.py
+++ b/damaskbay/mesh/directory.py
@@ -55,7 +55,7 @@
             present.add(record.instance)
             self.put(record, now)
         for instance in self._by_instance.keys() - present - {self._instance}:
-            self.remove_listing(instance, now)
+            self.mark_unlisted(instance, now)
 
     def put(self, record: MemberRecord, now: float) -> None:
         """Record a peer's record from the store; ignore this daemon's own."""
@@ -66,7 +66,7 @@
         """Record the state of this daemon and its server."""
         self._update(record, now, listed=True)
 
-    def remove_listing(self, instance: str, now: float) -> None:
+    def mark_unlisted(self, instance: str, now: float) -> None:
         """Record that the store no longer lists a daemon."""
         member = self._by_instance.get(instance)
         if member is not None:
--- a/damaskbay/mesh/dispatch.py
+++ b/damaskbay/mesh/dispatch.py
@@ -195,7 +195,12 @@
         return retry
 
     def _final_result(self, progress: _Progress, result: CallResult) -> CallResult:
-        """Return the result; a refusal is unknown if an attempt may have run."""
+        """
+        Return the final result of a call.
+
+        An earlier error response replaces a refusal. The outcome of a refusal is
+        unknown if an attempt may have run.
+        """
         outcome = result.result
         if isinstance(outcome, Refusal) and progress.error_response is not None:
             return progress.error_response
--- a/damaskbay/mesh/exchange.py
+++ b/damaskbay/mesh/exchange.py
@@ -66,7 +66,7 @@
         return self._relay_order(failure_domain)[:RELAYS_PER_DOMAIN]
 
     def members_changed(self) -> None:
-        """Set even shares as soon as the daemons are known but their demand isn't."""
+        """Start with even shares once the daemons are known, before demand reports."""
         parts = self._parts
         if self._fleet_known or not parts.members_known():
             return
@@ -93,14 +93,17 @@
         own, total = dict(counted.own), dict(counted.total)
         return FleetState(own, total, counted.daemons, version, age_s)
 
-    def domain_demand(self, wanted: DomainDemandRequest) -> DomainTotal:
-        """Return the local domain's demand to the relay of a remote domain."""
+    def domain_demand(self, request: DomainDemandRequest) -> DomainTotal:
+        """Return the local demand; record the daemons behind the requesting relay."""
         if not self._fleet_known:
             return DomainTotal({}, 0, 0)
         parts = self._parts
-        if wanted.domains == parts.tokens.domains:
+        if request.domains == parts.tokens.domains:
             parts.tokens.stands_behind(
-                wanted.asked_by, wanted.daemons, wanted.answer_age_s, parts.clock()
+                request.sender_domain,
+                request.daemons,
+                request.reply_age_s,
+                parts.clock(),
             )
         return parts.pool.own_total()
 
@@ -153,8 +156,8 @@
 
     async def _report_to(self, relay: MemberRecord) -> None:
         parts = self._parts
-        began_at = parts.clock()
-        demand = parts.shares.demand(began_at)
+        started_at = parts.clock()
+        demand = parts.shares.demand(started_at)
         reply = await parts.links.request(
             relay.address,
             DemandReport(parts.instance, demand),
@@ -172,7 +175,7 @@
         if reply.config_version > parts.configuration.version:
             parts.fetch_config(relay.address)
         elif reply.proof_age_s is not None:
-            proven_at = began_at - reply.proof_age_s
+            proven_at = started_at - reply.proof_age_s
             parts.configuration.record_proof(reply.config_version, proven_at)
 
     async def _act_as_relay(self) -> None:
@@ -192,17 +195,17 @@
         for record in self.relays(domain):
             if not parts.links.up(record.address):
                 continue
-            began_at = parts.clock()
-            wanted = DomainDemandRequest(
+            started_at = parts.clock()
+            request = DomainDemandRequest(
                 parts.failure_domain,
-                tokens.own_daemons(began_at),
-                tokens.answer_age_s(domain, began_at),
+                tokens.own_daemons(started_at),
+                tokens.answer_age_s(domain, started_at),
                 tokens.domains,
             )
             reply = await parts.links.request(
-                record.address, wanted, timeout_s=REPORT_TIMEOUT_S
+                record.address, request, timeout_s=REPORT_TIMEOUT_S
             )
             if isinstance(reply, DomainTotal) and reply.heard > 0:
                 parts.pool.heard(domain, reply)
-                tokens.answered(domain, began_at)
+                tokens.answered(domain, started_at)
                 return
--- a/damaskbay/mesh/gate.py
+++ b/damaskbay/mesh/gate.py
@@ -60,7 +60,7 @@
         """Return the admission level to report with responses."""
         return self._controller.level(now)
 
-    async def enter(
+    async def acquire(
         self, context: CallContext, weight: float, now: float
     ) -> int | Refusal:
         """Wait for a slot; return its ticket, or a refusal."""
@@ -85,13 +85,13 @@
             refusal = await future
         except asyncio.CancelledError:
             if self._waiting.pop(ticket, None) is None:
-                self.leave(ticket, Sample(0.0, cancelled=True), now)
+                self.release(ticket, Sample(0.0, cancelled=True), now)
             else:
                 self._apply_decisions(self._controller.withdraw(ticket, now))
             raise
         return ticket if refusal is None else refusal
 
-    def leave(self, ticket: int, sample: Sample, now: float) -> None:
+    def release(self, ticket: int, sample: Sample, now: float) -> None:
         """Release the slot of a ticket."""
         self._apply_decisions(self._controller.finish(ticket, sample, now))
 
--- a/damaskbay/mesh/ingress.py
+++ b/damaskbay/mesh/ingress.py
@@ -229,7 +229,7 @@
             priority_rank=rank,
             deadline=deadline,
             route=route.name,
-            pool=self._weights.pool(route),
+            pool=self._weights.next_pool(route),
             idempotent=route.idempotent,
             depth=depth,
             under_resent=under_resent,
--- a/damaskbay/mesh/local_server.py
+++ b/damaskbay/mesh/local_server.py
@@ -28,7 +28,7 @@
 
 
 class LocalServer:
-    """Tracks the local backend server from its start to its drain."""
+    """Tracks the state of the local backend server from its start to its drain."""
 
     def __init__(self, drain_s: float, on_change: Callable[[], None]) -> None:
         self.server = ""
--- a/damaskbay/mesh/messages.py
+++ b/damaskbay/mesh/messages.py
@@ -80,13 +80,13 @@
     """
     Request to a relay of a remote domain for the demand on that domain.
 
-    The sender is a relay of the domain `asked_by`, on which `daemons` daemons rely.
-    It got the last reply `answer_age_s` seconds ago and knows `domains`, sorted.
+    The sender is a relay of `sender_domain`, on which `daemons` daemons rely.
+    It got the last reply `reply_age_s` seconds ago and knows `domains`, sorted.
     """
 
-    asked_by: str
+    sender_domain: str
     daemons: int
-    answer_age_s: float
+    reply_age_s: float
     domains: tuple[str, ...]
 
 
--- a/damaskbay/mesh/neighbours.py
+++ b/damaskbay/mesh/neighbours.py
@@ -24,7 +24,7 @@
 
 
 def wanted_neighbours(
-    records: Iterable[MemberRecord], own: MemberRecord
+    records: Iterable[MemberRecord], local: MemberRecord
 ) -> frozenset[str]:
     """
     Return the instances of the daemons to keep links to.
@@ -33,18 +33,18 @@
     daemon's name so that servers get about equally many callers; all daemons of the
     local domain if this one is among its relays; and the relays of each domain.
     """
-    peers = [record for record in records if record.instance != own.instance]
+    peers = [record for record in records if record.instance != local.instance]
     wanted: set[str] = set()
-    for (_, is_local), servers in _by_pool(peers, own.failure_domain).items():
+    for (_, is_local), servers in _by_pool(peers, local.failure_domain).items():
         limit = LOCAL_LINKS_PER_POOL if is_local else REMOTE_LINKS_PER_POOL
-        wanted.update(item.instance for item in rank(servers, own.instance)[:limit])
-    members = [*peers, own]
+        wanted.update(item.instance for item in rank(servers, local.instance)[:limit])
+    members = [*peers, local]
     for domain in {record.failure_domain for record in members}:
         order = [record.instance for record in relay_order(members, domain)]
-        if own.instance in order[:RELAYS_PER_DOMAIN]:
+        if local.instance in order[:RELAYS_PER_DOMAIN]:
             wanted.update(order)
         wanted.update(order[:RELAYS_PER_DOMAIN])
-    return frozenset(wanted - {own.instance})
+    return frozenset(wanted - {local.instance})
 
 
 def _by_pool(
--- a/damaskbay/mesh/registry.py
+++ b/damaskbay/mesh/registry.py
@@ -191,7 +191,7 @@
     def _apply_change(self, item: StoreItem) -> None:
         now = self._clock()
         if item.value is None:
-            self._directory.remove_listing(item.key.removeprefix(self._prefix), now)
+            self._directory.mark_unlisted(item.key.removeprefix(self._prefix), now)
             return
         record = decode_record(item.value)
         if record is None:
--- a/damaskbay/mesh/running.py
+++ b/damaskbay/mesh/running.py
@@ -50,9 +50,9 @@
             call.nested_failed = True
         self._levels.heard(call.context.route, result.admission_level, now)
 
-    def level(self, route: str, own: int, now: float) -> int:
-        """Return the lower of `own` and the level that the route's nested calls met."""
-        return min(own, self._levels.level(route, now))
+    def level(self, route: str, local_level: int, now: float) -> int:
+        """Return the lower of `local_level` and that of the route's nested calls."""
+        return min(local_level, self._levels.level(route, now))
 
     def caller_of(self, request_id: str | None) -> RunningCall | None:
         """Return the running call that made a nested call, None if it is unknown."""
--- a/damaskbay/mesh/target.py
+++ b/damaskbay/mesh/target.py
@@ -78,7 +78,7 @@
         if context.resent and not parts.repeats.repeat(nested=context.depth > 0):
             refusal = not_run(Reason.RETRY_BUDGET_SPENT)
             return self._refused_result(context, refusal, now)
-        admitted = await parts.gate.enter(
+        admitted = await parts.gate.acquire(
             context, parts.weight_of(context.workspace), now
         )
         waited_s, now = parts.clock() - now, parts.clock()
@@ -97,7 +97,7 @@
             sample = Sample(took_s, succeeded=_succeeded(outcome))
         finally:
             parts.running.remove(call)
-            parts.gate.leave(admitted, sample, parts.clock())
+            parts.gate.release(admitted, sample, parts.clock())
         attempts = 0 if _never_sent(outcome) else 1
         return self._result(outcome, attempts, took_s, call)
 
@@ -123,7 +123,7 @@
         return None
 
     def _count_attempt(self, context: CallContext) -> None:
-        """Credit a first attempt to the retry budget."""
+        """Record an attempt that isn't a retry itself in the retry budget."""
         if context.resent:
             return
         if context.under_resent:
--- a/damaskbay/mesh/tokens.py
+++ b/damaskbay/mesh/tokens.py
@@ -29,7 +29,7 @@
 class _Exhausted:
     """A workspace without tokens: when to request again, and callers' retry delay."""
 
-    until: float
+    request_at: float
     wait_s: float
 
 
@@ -64,7 +64,7 @@
         """Spend one token, or return a refusal with a retry delay."""
         now = self._parts.clock()
         exhausted = self._exhausted.get(workspace.name)
-        if exhausted is None or exhausted.until <= now:
+        if exhausted is None or exhausted.request_at <= now:
             grant = await self._obtain(workspace, 0)
             if grant.granted:
                 return None
@@ -76,14 +76,14 @@
         detail = f"pooled at {home}, of {workspace.rate_per_s:g}/s"
         return not_run(Reason.RATE_EXCEEDED, retry_after_s=wait_s, detail=detail)
 
-    async def handle_token_request(self, message: TokenRequest) -> Grant:
-        """Return the grant for a request of a peer."""
+    async def handle_token_request(self, request: TokenRequest) -> Grant:
+        """Handle a peer's token request and return the grant to send back."""
         config = self._parts.configuration.config
         workspaces = config.workspaces_by_name if config is not None else {}
-        workspace = workspaces.get(message.workspace)
+        workspace = workspaces.get(request.workspace)
         if workspace is None:
             return _NO_GRANT
-        return await self._obtain(workspace, message.hops)
+        return await self._obtain(workspace, request.hops)
 
     async def _obtain(self, workspace: Workspace, hops: int) -> Grant:
         parts = self._parts
--- a/damaskbay/mesh/weights.py
+++ b/damaskbay/mesh/weights.py
@@ -6,7 +6,7 @@
 
 
 class WeightedChoice:
-    """Smooth entry round robin per route, from a random starting position."""
+    """Smooth weighted round robin per route, from a random starting position."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
@@ -14,7 +14,7 @@
             str, tuple[tuple[WeightedPool, ...], dict[str, float]]
         ] = {}
 
-    def pool(self, route: Route) -> str:
+    def next_pool(self, route: Route) -> str:
         """Return the pool for the next call of a route."""
         if not isinstance(route, WeightedRoute) or not route.weighted_pools:
             return route.pool
--- a/tests/mesh/test_gate.py
+++ b/tests/mesh/test_gate.py
@@ -23,20 +23,20 @@
 
 
 def _run(left_s: float) -> tuple[int | Refusal, int | Refusal, Gate]:
-    """Enter twice with one slot; return both results and the gate."""
+    """Acquire one slot twice; return both results and the gate."""
 
-    async def enter_twice() -> tuple[int | Refusal, int | Refusal, Gate]:
+    async def acquire_twice() -> tuple[int | Refusal, int | Refusal, Gate]:
         gate = Gate(1, Random(1), monotonic_s())
         expiring = asyncio.create_task(gate.run_expiry(monotonic_s))
-        first = await gate.enter(_context(WAIT_S), 1.0, monotonic_s())
+        first = await gate.acquire(_context(WAIT_S), 1.0, monotonic_s())
         async with asyncio.timeout(WAIT_S):
-            second = await gate.enter(_context(left_s), 1.0, monotonic_s())
+            second = await gate.acquire(_context(left_s), 1.0, monotonic_s())
         expiring.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await expiring
         return first, second, gate
 
-    return asyncio.run(enter_twice())
+    return asyncio.run(acquire_twice())
 
 
 def test_a_call_that_waits_too_long_is_refused() -> None:
@@ -54,12 +54,14 @@
 
     async def hand_over() -> None:
         gate = Gate(1, Random(1), monotonic_s())
-        first = await gate.enter(_context(WAIT_S), 1.0, monotonic_s())
+        first = await gate.acquire(_context(WAIT_S), 1.0, monotonic_s())
         assert isinstance(first, int)
-        waiting = asyncio.create_task(gate.enter(_context(WAIT_S), 1.0, monotonic_s()))
+        waiting = asyncio.create_task(
+            gate.acquire(_context(WAIT_S), 1.0, monotonic_s())
+        )
         await asyncio.sleep(0)
         assert gate.waiting == 1
-        gate.leave(first, Sample(0.01), monotonic_s())
+        gate.release(first, Sample(0.01), monotonic_s())
         assert isinstance(await waiting, int)
 
     asyncio.run(hand_over())
@@ -68,13 +70,13 @@
 def test_a_call_that_is_too_late_does_not_start() -> None:
     """A call past its deadline is refused even with a free slot."""
 
-    async def enter() -> None:
+    async def acquire() -> None:
         gate = Gate(1, Random(1), monotonic_s())
         late = replace(_context(WAIT_S), deadline=monotonic_s() - 0.1)
-        assert isinstance(await gate.enter(late, 1.0, monotonic_s()), Refusal)
+        assert isinstance(await gate.acquire(late, 1.0, monotonic_s()), Refusal)
         assert gate.running == 0
 
-    asyncio.run(enter())
+    asyncio.run(acquire())
 
 
 def load_tests(*_: object) -> unittest.TestSuite:
--- a/tests/mesh/test_parts.py
+++ b/tests/mesh/test_parts.py
@@ -215,10 +215,10 @@
     parts = (WeightedPool("a", 90), WeightedPool("b", 10))
     choice = WeightedChoice(random.Random(3))
     route = replace(ROUTE, weighted_pools=parts)
-    chosen = [choice.pool(route) for _ in range(1000)]
+    chosen = [choice.next_pool(route) for _ in range(1000)]
     for first in range(0, 900, 50):
         assert 8 <= chosen[first : first + 100].count("b") <= 12
-    assert choice.pool(ROUTE) == "p"
+    assert choice.next_pool(ROUTE) == "p"
 
 
 def test_repeats_stay_within_the_ratio() -> None:
