--- a/damaskbay/mesh/assembly.py
+++ b/damaskbay/mesh/assembly.py
@@ -1,4 +1,4 @@
-"""Makes the parts of the event-driven daemon that carry calls."""
+"""Creates the components of the event-driven daemon that process calls."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 from damaskbay.helpers.clock import monotonic_s
 from damaskbay.mesh.config_watch import Decode
 from damaskbay.mesh.configuration import Configuration
-from damaskbay.mesh.const import REPEAT_RATIO_SHARE, REPEAT_SLACK_SHARE
+from damaskbay.mesh.const import RETRY_RATIO_SHARE, RETRY_SLACK_SHARE
 from damaskbay.mesh.dialect import Dialect
 from damaskbay.mesh.directory import Directory
 from damaskbay.mesh.dispatch import Dispatcher, DispatchParts
@@ -31,10 +31,10 @@
 @dataclass(frozen=True, slots=True)
 class Surroundings:
     """
-    What the daemon finds around it.
+    Platform-specific dependencies of the daemon.
 
-    `config_prefix` and `config_key` are where the operator's set lies in the
-    store, `member_prefix` is where daemons keep their records.
+    `config_prefix` and `config_key` locate the operator's configuration set in
+    the store, `member_prefix` the records of the daemons.
     """
 
     store: Store
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Shared:
-    """What the parts on the path of a call share."""
+    """Components that ingress and target share."""
 
     configuration: Configuration
     local: LocalServer
@@ -68,7 +68,7 @@
     shared: Shared,
     weight_of: Callable[[str], float],
 ) -> Target:
-    """Return the sender to the local server."""
+    """Return the component that sends calls to the local server."""
     options = HttpClientOptions(echo_header=dialect.request_id)
     return Target(
         TargetParts(
@@ -90,7 +90,7 @@
 def make_ingress(
     settings: MeshSettings, dialect: Dialect, shared: Shared, target: Target
 ) -> Ingress:
-    """Return what serves callers, with the dispatcher behind it."""
+    """Return the component that serves callers, with its dispatcher."""
     router = Router(RouterOptions(settings.failure_domain, trust_load=True), shared.rng)
     dispatcher = Dispatcher(
         DispatchParts(
@@ -118,11 +118,11 @@
     )
 
 
-def make_repeats(settings: MeshSettings) -> RepeatBudget:
-    """Return the budget of the server's part of what its pool may get again."""
+def make_retry_budget(settings: MeshSettings) -> RepeatBudget:
+    """Return the retry budget of one server, a part of its pool's budget."""
     return RepeatBudget(
         RepeatOptions(
-            ratio=REPEAT_RATIO_SHARE * settings.retry_ratio,
-            saved=max(1.0, REPEAT_SLACK_SHARE * settings.retry_slack),
+            ratio=RETRY_RATIO_SHARE * settings.retry_ratio,
+            saved=max(1.0, RETRY_SLACK_SHARE * settings.retry_slack),
         )
     )
