--- a/damaskbay/core/admission/controller.py
+++ b/damaskbay/core/admission/controller.py
@@ -24,7 +24,7 @@
 from damaskbay.core.outcome import Reason, Refusal, not_run
 
 LOWER_RANK = 1
-"""Any rank below rank 0; only a queue of rank 0 alone may be longer."""
+"""Any rank less important than 0: only a queue of rank 0 alone may be longer."""
 
 LimitFactory = Callable[[int, float], ConcurrencyLimit]
 """Creates a limit from the slots and the current time in seconds."""
@@ -173,7 +173,11 @@
         return self._process_queue(now)
 
     def expire(self, now: float) -> tuple[Decision, ...]:
-        """Refuse calls that waited too long; call it several times per second."""
+        """
+        Refuse queued calls after their deadline; call it several times per second.
+
+        Calls of the least important rank are also refused after `wait_until`.
+        """
         decisions: list[Decision] = []
         for entry in self._queue.least_important_first():
             refusal = self._expired_refusal(
@@ -203,7 +207,7 @@
         return self._process_queue(now)
 
     def _process_queue(self, now: float) -> tuple[Decision, ...]:
-        """Start queued calls in free slots, then refuse those beyond the length."""
+        """Start queued calls in free slots; refuse those beyond the maximum length."""
         decisions: list[Decision] = []
         while self._queue and self._has_free_slot():
             decisions.append(self._decide_next_queued(now))
--- a/damaskbay/core/admission/limit.py
+++ b/damaskbay/core/admission/limit.py
@@ -257,7 +257,7 @@
         )
 
     def _confirm_decrease(self) -> None:
-        """Keep the limit below where a decrease helped, except for small probes."""
+        """End fast increases halfway to the limit from before a helpful decrease."""
         if self._limit_before_decrease:
             self._fast_increase_target = (
                 self._limit + self._limit_before_decrease
--- a/damaskbay/core/admission/queue.py
+++ b/damaskbay/core/admission/queue.py
@@ -119,6 +119,7 @@
         self._charge(self.by_workspace[entry.workspace])
 
     def _charge(self, workspace: _WorkspaceQueue) -> None:
+        """Advance the virtual times for one started call of the workspace."""
         self.virtual_time = max(self.virtual_time, workspace.virtual_time)
         workspace.virtual_time += 1.0 / workspace.weight
 
@@ -207,11 +208,16 @@
             self._standing_since = now
 
     def is_standing(self, now: float) -> bool:
-        """Return whether started calls have had to wait for STANDING_QUEUE_AFTER_S."""
+        """
+        Return whether the queue is standing.
+
+        It is if all calls started for STANDING_QUEUE_AFTER_S had waited for
+        STANDING_QUEUE_WAIT_S or longer.
+        """
         since = self._standing_since
         return since is not None and now - since >= STANDING_QUEUE_AFTER_S
 
     def forget_idle(self) -> None:
-        """Drop workspaces that have no queued calls and no virtual time ahead."""
+        """Drop workspaces with no queued calls and no lead over the virtual time."""
         for queue in self._by_rank.values():
             queue.forget_idle()
--- a/damaskbay/core/quota/bucket.py
+++ b/damaskbay/core/quota/bucket.py
@@ -31,9 +31,9 @@
 
     def retry_after_s(self, rate_per_s: float, next_s: float, now: float) -> float:
         """
-        Return the delay in seconds after which a refused call may find a token.
+        Count a refused call; return the delay in seconds after which to retry it.
 
-        Earlier tokens are set aside for calls refused before, which are retried too.
+        The delay allows for the calls refused earlier, whose retries need tokens too.
         """
         age_s = max(0.0, now - self.refused_at)
         self.refused_backlog *= 0.5 ** (age_s / BACKLOG_HALF_LIFE_S)
--- a/damaskbay/core/quota/const.py
+++ b/damaskbay/core/quota/const.py
@@ -15,7 +15,11 @@
 """Time after which half of the refused calls were retried or given up, seconds."""
 
 INITIAL_BURST_FRACTION: Final = 0.2
-"""Fraction of the burst in a new bucket: the fleet may restart within a window."""
+"""Fraction of the burst in a new bucket, 0 to 1.
+
+With the complete burst, a restart of the fleet would grant a second one within a
+window.
+"""
 
 INITIAL_SHARE: Final = 0.02
 """Fraction of a rate that a daemon may spend before it knows its peers, 0 to 1."""
@@ -36,11 +40,15 @@
 TOKEN_RETRY_MAX_S: Final = 0.4
 """Longest time until a daemon requests a token again, seconds: one report interval.
 
-A relay to which no daemon reports yet has no tokens, so longer waits do not help.
+A relay has no tokens until the first reports reach it, so the wait that it computes
+before then is much too long.
 """
 
 REPORT_TTL_S: Final = 1.6
-"""Time for which a report counts, seconds: of reports each 0.4 s three may be lost."""
+"""Time for which a report counts, seconds.
+
+Reports are sent every 0.4 s, so three in a row may be lost.
+"""
 
 LOCAL_FALLBACK_AFTER_S: Final = 1.7
 """Time without a reply after which a domain grants tokens on its own, seconds.
--- a/damaskbay/core/quota/demand_pool.py
+++ b/damaskbay/core/quota/demand_pool.py
@@ -18,8 +18,8 @@
     """
     The demand of a failure domain, summed over the daemons that reported.
 
-    `heard` is the number of daemons that reported, out of `daemons` that may be
-    spending there.
+    `heard` is the number of daemons that reported, out of `daemons` that may
+    spend tokens there.
     """
 
     demand: Demand
@@ -71,11 +71,11 @@
 
     @property
     def daemons(self) -> int:
-        """Return the number of daemons that may be spending."""
+        """Return the number of daemons that may spend tokens."""
         return max(1, sum(len(members) for members in self._members.values()))
 
     def set_members(self, instances_by_domain: Mapping[str, AbstractSet[str]]) -> None:
-        """Set the daemons that may be spending; drop the data of all others."""
+        """Set the daemons that may spend tokens; drop the data of all others."""
         self._members = dict(instances_by_domain)
         local = self._members.get(self._local_domain, frozenset())
         for removed in self._reports.keys() - local:
--- a/damaskbay/core/quota/token_pool.py
+++ b/damaskbay/core/quota/token_pool.py
@@ -77,7 +77,7 @@
     def set_members(
         self, instances_by_domain: Mapping[str, AbstractSet[str]], now: float
     ) -> None:
-        """Set the daemons that may be spending."""
+        """Set the daemons that may spend tokens."""
         self._domains = tuple(sorted({*instances_by_domain, self._local_domain}))
         self._members = frozenset(instances_by_domain.get(self._local_domain, ()))
         counts = (len(members) for members in instances_by_domain.values())
@@ -98,11 +98,11 @@
         self, domain: str, daemons: int, answer_age_s: float, now: float
     ) -> None:
         """
-        Record how many daemons the relay of a remote domain has behind it.
+        Record how many daemons rely on the relay of a remote domain.
 
-        `answer_age_s` is the time since that relay last had a reply from this one. It
-        counts against the report, since a relay without replies grants tokens on its
-        own, also when only the replies are lost.
+        `answer_age_s` is the time since that relay last had a reply from this one. The
+        record expires earlier by this time, since a relay without replies grants
+        tokens on its own, also when only the replies are lost.
         """
         fresh_s = max(0.0, REPORT_TTL_S - answer_age_s)
         self._remote_daemons[domain] = (daemons, now + fresh_s)
--- a/damaskbay/core/rates/const.py
+++ b/damaskbay/core/rates/const.py
@@ -42,7 +42,7 @@
 The time for which a holder was seen unchanged then starts again from 0.
 """
 EXCESS_SHARE_FACTOR: Final = 1.2
-"""A share is lowered, without scarcity, only above its need times this factor."""
+"""Without scarcity, a share is lowered only if it exceeds its need by this factor."""
 
 NEED_STEP_FACTOR: Final = 1.1
 """Needs are rounded up to powers of this factor."""
@@ -50,9 +50,9 @@
 FAIR_SHARE_MAX_FACTOR: Final = 1.25
 """A share stays unchanged between these multiples of its fair share."""
 TOKEN_HOLD_S: Final = 0.5
-"""Time for which daemons may hold granted tokens, which occupy part of a burst."""
+"""Time for which daemons hold granted tokens; the burst must cover those tokens."""
 NEED_CHANGE_FACTOR: Final = 1.5
-"""A need that changed by more than this factor is written to the ledger at once."""
+"""Under scarcity, a need that changed by more than this is written at once."""
 
 PREFETCH_S: Final = 0.75
 PREFETCH_RETRY_S: Final = 0.25
--- a/damaskbay/core/rates/demand.py
+++ b/damaskbay/core/rates/demand.py
@@ -32,7 +32,12 @@
         self._peak_spike = 0.0
 
     def add(self, count: int, drain_per_s: float, max_spike: float, now: float) -> None:
-        """Count calls, admitted or refused; a spike is limited to `max_spike`."""
+        """
+        Count calls, admitted or refused.
+
+        Spikes are measured above `drain_per_s` or the recent rate, whichever is
+        higher, and limited to `max_spike` tokens.
+        """
         if count <= 0:
             return
         self._close_sample(now)
--- a/damaskbay/core/rates/holder.py
+++ b/damaskbay/core/rates/holder.py
@@ -32,7 +32,8 @@
     State of one bucket at this holder.
 
     `total` is the newest known limit, `sized_for` the limit that the confirmed share
-    was sized for. At `exhausted_revision` of the ledger, a claim would gain nothing.
+    was sized for. A plan at revision `exhausted_revision` of the ledger claimed
+    nothing, so no claim is expected to succeed until the ledger changes.
     """
 
     bucket: HolderBucket
--- a/damaskbay/core/rates/holding.py
+++ b/damaskbay/core/rates/holding.py
@@ -90,9 +90,10 @@
 
     def settle(self, ledger: GroupLedger, revision: int, now: float) -> ProposalOutcome:
         """
-        Record the ledger as read and settle the open proposal if it is decided.
+        Record the ledger as read; close the open proposal once its outcome is known.
 
-        Return the outcome of the proposal, empty if there is none or it is open.
+        Return the outcome, empty if no proposal was closed or the ledger lacks this
+        holder.
         """
         if revision < self._view.revision and revision != 0:
             return ProposalOutcome()
--- a/damaskbay/core/rates/node.py
+++ b/damaskbay/core/rates/node.py
@@ -31,7 +31,7 @@
 
 
 def rank(group: int, instance: str) -> int:
-    """Return a daemon's rank for a group; the highest ranks are its holders."""
+    """Return a daemon's rank for a group, whose holders are the highest-ranked."""
     return _hash(f"{group}/{instance}")
 
 
--- a/damaskbay/core/rates/planner.py
+++ b/damaskbay/core/rates/planner.py
@@ -71,8 +71,8 @@
     """
     Return the next share of a holder, with rate and burst decided separately.
 
-    While the needs of the live holders fit, each gets its need and keeps some more
-    than that; otherwise each gets its max-min fair share.
+    While the needs of the live holders fit, each gets its need and may keep more;
+    otherwise each gets its max-min fair share.
     """
     live = {
         other: holding
--- a/damaskbay/core/rates/view.py
+++ b/damaskbay/core/rates/view.py
@@ -16,7 +16,8 @@
     The newest ledger read, and for how long each of its parts is unchanged.
 
     Times are taken when a reply has arrived, so that a part has been unchanged for
-    at least as long as this view returns.
+    at least as long as this view returns. Contact with the platform is lost
+    `contact_s` seconds after its last reply.
     """
 
     def __init__(self, *, contact_s: float) -> None:
@@ -78,7 +79,7 @@
 def _track_changes(
     known: dict[str, _Seen], values: dict[str, int], now: float
 ) -> dict[str, _Seen]:
-    """Return values with the time since which each is unchanged, `now` if it is new."""
+    """Return the values with their last change times, `now` for new or changed ones."""
     tracked = {}
     for name, value in values.items():
         seen = known.get(name)
--- a/damaskbay/core/retry/repeats.py
+++ b/damaskbay/core/retry/repeats.py
@@ -5,7 +5,7 @@
 NESTED_RESERVE_SHARE = 0.5
 """Fraction of the saved budget reserved for retries of root calls.
 
-Only the retry of a root call makes a complete response to the caller.
+Only the retry of a root call yields a complete response to the caller.
 """
 
 
@@ -42,7 +42,11 @@
         )
 
     def repeat(self, *, nested: bool) -> bool:
-        """Spend one retry of the budget; return False if it must not be sent."""
+        """
+        Spend one retry of the budget; return False if it must not be sent.
+
+        The retry of a nested call must leave the reserve for root calls.
+        """
         reserve = NESTED_RESERVE_SHARE * self._options.saved if nested else 0.0
         if self._retries_left < 1.0 + reserve:
             return False
--- a/tests/core/admission/test_controller.py
+++ b/tests/core/admission/test_controller.py
@@ -90,8 +90,9 @@
 @given(random_steps)
 def test_important_calls_are_shed_last(steps: list[Step]) -> None:
     """
-    No less important call starts before a call, or stays queued when it is refused.
+    No call starts while a more important one is queued.
 
+    None is refused for lack of capacity while a less important one is queued.
     Each ticket gets at most one decision, and at most SLOTS calls run.
     """
     RandomRun().run(steps)
--- a/tests/core/rates/test_holder.py
+++ b/tests/core/rates/test_holder.py
@@ -35,7 +35,7 @@
 
 
 def draft(ledger: GroupLedger, observed_s: float = 0.0) -> LedgerDraft:
-    """Return a draft of a writer that has seen all marks for `observed_s`."""
+    """Return a draft of a writer that saw all marks unchanged for `observed_s`."""
     return LedgerDraft(ledger, lambda _: observed_s)
 
 
