--- a/damaskbay/core/quota/demand_pool.py
+++ b/damaskbay/core/quota/demand_pool.py
@@ -18,8 +18,8 @@
     """
     The demand of a failure domain, summed over the daemons that reported.
 
-    `heard` is the number of daemons that reported, out of `daemons` that may be
-    spending there.
+    `heard` is the number of daemons that reported, out of `daemons` that may
+    spend tokens there.
     """
 
     demand: Demand
@@ -71,11 +71,11 @@
 
     @property
     def daemons(self) -> int:
-        """Return the number of daemons that may be spending."""
+        """Return the number of daemons that may spend tokens."""
         return max(1, sum(len(members) for members in self._members.values()))
 
     def set_members(self, instances_by_domain: Mapping[str, AbstractSet[str]]) -> None:
-        """Set the daemons that may be spending; drop the data of all others."""
+        """Set the daemons that may spend tokens; drop the data of all others."""
         self._members = dict(instances_by_domain)
         local = self._members.get(self._local_domain, frozenset())
         for removed in self._reports.keys() - local:
@@ -129,15 +129,17 @@
             - sum(item.daemons for item in self._remote_totals.values())
         )
         unknown_ratio = max(0, unknown) / self._previous_local_total.daemons
-        even = min(1.0, self._local_total.daemons / self.daemons)
+        even_share = min(1.0, self._local_total.daemons / self.daemons)
         fleet: dict[str, float] = {}
         for name in current.keys() | remote.keys():
             local = previous.get(name, 0.0)
-            everywhere = local * (1.0 + unknown_ratio) + remote.get(name, 0.0)
-            share = local / everywhere if everywhere > 0.0 else even
-            share = EVEN_SPLIT_FRACTION * even + (1.0 - EVEN_SPLIT_FRACTION) * share
+            total = local * (1.0 + unknown_ratio) + remote.get(name, 0.0)
+            share = local / total if total > 0.0 else even_share
+            share = (
+                EVEN_SPLIT_FRACTION * even_share + (1.0 - EVEN_SPLIT_FRACTION) * share
+            )
             demand = current.get(name, 0.0)
-            fleet[name] = demand / share if demand > 0.0 else everywhere
+            fleet[name] = demand / share if demand > 0.0 else total
         return fleet
 
 
--- a/damaskbay/core/quota/token_pool.py
+++ b/damaskbay/core/quota/token_pool.py
@@ -77,7 +77,7 @@
     def set_members(
         self, instances_by_domain: Mapping[str, AbstractSet[str]], now: float
     ) -> None:
-        """Set the daemons that may be spending."""
+        """Set the daemons that may spend tokens."""
         self._domains = tuple(sorted({*instances_by_domain, self._local_domain}))
         self._members = frozenset(instances_by_domain.get(self._local_domain, ()))
         counts = (len(members) for members in instances_by_domain.values())
@@ -98,11 +98,11 @@
         self, domain: str, daemons: int, answer_age_s: float, now: float
     ) -> None:
         """
-        Record how many daemons the relay of a remote domain has behind it.
+        Record how many daemons rely on the relay of a remote domain.
 
-        `answer_age_s` is the time since that relay last had a reply from this one. It
-        counts against the report, since a relay without replies grants tokens on its
-        own, also when only the replies are lost.
+        `answer_age_s` is the time since that relay last had a reply from this one. The
+        record expires earlier by this time, since a relay without replies grants
+        tokens on its own, also when only the replies are lost.
         """
         fresh_s = max(0.0, REPORT_TTL_S - answer_age_s)
         self._remote_daemons[domain] = (daemons, now + fresh_s)
@@ -112,7 +112,7 @@
         self._replied_at[domain] = asked_at
 
     def answer_age_s(self, domain: str, now: float) -> float:
-        """Return the time in seconds since the last reply of a domain's relay."""
+        """Return the age in seconds of the last request with a reply from a relay."""
         return now - self._replied_at.get(domain, now)
 
     def own_daemons(self, now: float) -> int:
@@ -133,12 +133,12 @@
         local domain's share, but only once the home no longer counts that domain.
         """
         home = self.home(workspace.name)
-        since = self._has_reports_since
+        granting_since = self._has_reports_since
         if home != self._local_domain:
             fallback_s = self.answer_age_s(home, now) - LOCAL_FALLBACK_AFTER_S
             if fallback_s < 0.0:
                 return Grant(False, -fallback_s, -fallback_s)
-            since = max(since, now - fallback_s)
+            granting_since = max(granting_since, now - fallback_s)
         share = self._share(now, is_home=home == self._local_domain)
         options = self.options
         rate = (
@@ -148,8 +148,10 @@
         )
         depth = max(1.0, workspace.burst * share * (1.0 + options.overage))
         bucket = self._buckets.get(workspace.name)
-        if bucket is None or bucket.updated_at < since:
-            bucket = Bucket(INITIAL_BURST_FRACTION * workspace.burst * share, since)
+        if bucket is None or bucket.updated_at < granting_since:
+            bucket = Bucket(
+                INITIAL_BURST_FRACTION * workspace.burst * share, granting_since
+            )
             self._buckets[workspace.name] = bucket
         next_s = bucket.spend(rate, depth, now)
         if next_s == 0.0:
