--- a/damaskbay/adapters/peer_stream/client.py
+++ b/damaskbay/adapters/peer_stream/client.py
@@ -1,4 +1,4 @@
-"""The requesting side: streams opened on demand and the requests under way."""
+"""Sending of requests: streams that are opened on demand, and requests in flight."""
 
 import errno
 import heapq
@@ -22,11 +22,11 @@
     PeerProblem,
 )
 
-_ANSWERS = frozenset({FrameKind.ANSWER, FrameKind.REJECTED, FrameKind.DROPPED})
+_REPLY_KINDS = frozenset({FrameKind.ANSWER, FrameKind.REJECTED, FrameKind.DROPPED})
 
 
-class RequestingSide:
-    """Opens streams and matches answers to requests. Used by the loop only."""
+class RequestClient:
+    """Opens streams and matches replies to requests; used on the loop's thread."""
 
     def __init__(
         self,
@@ -47,17 +47,17 @@
         self._requests_by_id: dict[int, OutgoingRequest] = {}
         self._ids_by_stream: dict[PeerStream, set[int]] = {}
         self._deadlines: list[tuple[float, int]] = []
-        self._paused_until: dict[PeerAddress, float] = {}
+        self._reconnect_not_before: dict[PeerAddress, float] = {}
 
     def request(self, request: OutgoingRequest, now: float) -> None:
-        """Send a request, or fail it; take over one that its thread has written."""
+        """Send a request or fail it; only track one that its own thread has written."""
         if request.stream is not None:
-            self._take_over(request, request.stream, now)
+            self._track_written(request, request.stream, now)
             return
         if request.future.cancelled():
             return
         if len(self._requests_by_id) >= self._options.max_requests:
-            request.fail(PeerProblem.NOT_SENT, "too many requests are waiting")
+            request.fail(PeerProblem.NOT_SENT, "too many requests in flight")
             return
         stream = self._stream_for(request.peer, len(request.payload), now)
         if isinstance(stream, str):
@@ -69,15 +69,15 @@
         )
 
     def ready_stream(self, peer: PeerAddress, now: float) -> PeerStream | None:
-        """Return a stream that may take a request at once; from any thread."""
+        """Return a stream for an immediate write, or None; thread-safe."""
         stream = self._streams_by_address.get(peer)
-        if stream is None or stream.liveness.suspect(now):
+        if stream is None or stream.liveness.is_suspect(now):
             return None
         full = self._stats.requests >= self._options.max_requests
         return None if full else stream
 
     def send(self, peer: PeerAddress, payload: bytes, now: float) -> None:
-        """Send without an answer, or drop."""
+        """Send a one-way message, or drop it if there is no stream for it."""
         stream = self._stream_for(peer, len(payload), now)
         if isinstance(stream, str):
             self._stats.sends_dropped += 1
@@ -86,78 +86,80 @@
         self._pool.put(stream, FrameKind.SEND, payload=payload)
 
     def cancel(self, request: OutgoingRequest) -> None:
-        """Take back a request whose future was cancelled."""
+        """Stop a request whose future was cancelled."""
         if self._requests_by_id.get(request.correlation_id) is request:
             self._stats.requests_cancelled += 1
-            self._give_up(request)
+            self._stop_tracking(request)
 
     def on_frame(self, stream: PeerStream, frame: Frame, now: float) -> None:
-        """Match an answer to its request on the same stream."""
+        """Match a reply to its request, which must have used the same stream."""
         if frame.kind is FrameKind.GOODBYE:
-            self._leave(stream)
+            self._drain_stream(stream)
             return
-        if frame.kind not in _ANSWERS:
+        if frame.kind not in _REPLY_KINDS:
             raise FrameError(f"{frame.kind.name} from an acceptor")
         request = self._requests_by_id.get(frame.correlation_id)
         if request is None or request.stream is not stream:
-            self._stats.answers_stray += 1
+            self._stats.replies_unmatched += 1
             return
         self._untrack(request)
         if frame.kind is FrameKind.ANSWER:
-            request.end(self._answer(frame.payload))
+            request.complete(self._parse_reply(frame.payload))
         elif frame.kind is FrameKind.REJECTED:
             detail = frame.payload.decode("ascii", "replace")
-            request.end(PeerFailure(PeerProblem.REJECTED, detail))
+            request.complete(PeerFailure(PeerProblem.REJECTED, detail))
         else:
-            request.fail(PeerProblem.LOST, "the answer could not be sent")
+            request.fail(PeerProblem.LOST, "peer could not send the reply")
         stream.used_at = now
 
     def on_end(self, stream: PeerStream, now: float, detail: str) -> None:
-        """Fail the requests of a stream that has ended."""
-        self._leave(stream)
-        if not stream.was_proven:
-            self._paused_until[stream.address] = now + self._options.reconnect_pause_s
+        """Fail the requests in flight on a stream that has ended."""
+        self._drain_stream(stream)
+        if not stream.was_authenticated:
+            self._reconnect_not_before[stream.address] = (
+                now + self._options.reconnect_delay_s
+            )
         for correlation_id in tuple(self._ids_by_stream.get(stream, ())):
             request = self._requests_by_id[correlation_id]
             self._untrack(request)
             request.fail(PeerProblem.LOST, detail)
         self._ids_by_stream.pop(stream, None)
 
-    def busy(self, stream: PeerStream) -> bool:
-        """Tell whether requests wait for answers on a stream."""
+    def is_busy(self, stream: PeerStream) -> bool:
+        """Return whether requests wait for replies on a stream."""
         return bool(self._ids_by_stream.get(stream))
 
-    def next_due(self) -> float:
-        """Return the time of the next request's deadline."""
+    def next_deadline(self) -> float:
+        """Return the earliest deadline of a request."""
         return self._deadlines[0][0] if self._deadlines else float("inf")
 
     def tick(self, now: float) -> None:
-        """End requests whose time is up, and streams that nobody uses."""
+        """Fail requests past their deadline, and close unused streams."""
         while self._deadlines and self._deadlines[0][0] <= now:
             _, correlation_id = heapq.heappop(self._deadlines)
             request = self._requests_by_id.get(correlation_id)
             if request is not None:
                 self._stats.requests_timed_out += 1
-                self._give_up(request)
-                request.fail(PeerProblem.TIMEOUT, "no answer in time")
-        for stream in self._pool.of(self):
-            self._end_unused(stream, now)
-        for address, until in tuple(self._paused_until.items()):
+                self._stop_tracking(request)
+                request.fail(PeerProblem.TIMEOUT, "no reply in time")
+        for stream in self._pool.streams_of(self):
+            self._close_unused(stream, now)
+        for address, until in tuple(self._reconnect_not_before.items()):
             if until <= now:
-                del self._paused_until[address]
+                del self._reconnect_not_before[address]
 
-    def _end_unused(self, stream: PeerStream, now: float) -> None:
-        if self.busy(stream) or stream.queued_bytes:
+    def _close_unused(self, stream: PeerStream, now: float) -> None:
+        if self.is_busy(stream) or stream.queued_bytes:
             return
-        if stream.leaving:
-            self._pool.end(stream, now, "replaced")
+        if stream.draining:
+            self._pool.end(stream, now, "stream is no longer in use")
         elif now - stream.used_at > self._options.idle_close_s:
-            # It ends on the next tick, when no request can be on its way to it.
+            # The next tick closes it, once no thread can still write a request to it.
             self._stats.streams_idle_closed += 1
-            self._leave(stream)
+            self._drain_stream(stream)
 
-    def _give_up(self, request: OutgoingRequest) -> None:
-        """Forget a request; the peer is told unless no byte of it had left."""
+    def _stop_tracking(self, request: OutgoingRequest) -> None:
+        """Stop tracking a request; cancel it at the peer if its frame has started."""
         stream, frame = request.stream, request.frame
         self._untrack(request)
         if stream is None or frame is None or stream.state is StreamState.ENDED:
@@ -165,11 +167,11 @@
         if not stream.withdraw(frame):
             self._pool.put(stream, FrameKind.CANCEL, request.correlation_id)
 
-    def _take_over(
+    def _track_written(
         self, request: OutgoingRequest, stream: PeerStream, now: float
     ) -> None:
         if stream.state is StreamState.ENDED:
-            request.fail(PeerProblem.LOST, "the stream ended")
+            request.fail(PeerProblem.LOST, "stream has ended")
             return
         self._track(request, stream, now)
 
@@ -180,7 +182,7 @@
         heapq.heappush(self._deadlines, (request.deadline, request.correlation_id))
         self._stats.requests = len(self._requests_by_id)
         self._stats.requests_sent += 1
-        stream.liveness.asked(now)
+        stream.liveness.record_request_sent(now)
         stream.used_at = now
 
     def _untrack(self, request: OutgoingRequest) -> None:
@@ -192,35 +194,35 @@
         while deadlines and deadlines[0][1] not in self._requests_by_id:
             heapq.heappop(deadlines)
 
-    def _answer(self, payload: bytes) -> Any:
+    def _parse_reply(self, payload: bytes) -> Any:
         item = unpack(payload, max_bytes=self._options.max_frame_bytes)
         if isinstance(item, BadMessage):
-            return PeerFailure(PeerProblem.LOST, f"bad answer: {item.detail}")
+            return PeerFailure(PeerProblem.LOST, f"invalid reply: {item.detail}")
         return item
 
-    def _leave(self, stream: PeerStream) -> None:
-        """Keep new requests off a stream."""
-        stream.leaving = True
+    def _drain_stream(self, stream: PeerStream) -> None:
+        """Exclude a stream from new requests."""
+        stream.draining = True
         if self._streams_by_address.get(stream.address) is stream:
             del self._streams_by_address[stream.address]
 
     def _stream_for(self, peer: PeerAddress, size: int, now: float) -> PeerStream | str:
-        """Return the stream to use, or why there is none."""
+        """Return the stream to use, or the reason why there is none."""
         stream = self._streams_by_address.get(peer)
-        if stream is not None and stream.liveness.suspect(now):
+        if stream is not None and stream.liveness.is_suspect(now):
             self._stats.streams_suspect += 1
-            self._leave(stream)
+            self._drain_stream(stream)
             stream = None
         if stream is None:
-            return self._open(peer, now)
+            return self._open_stream(peer, now)
         if stream.queued_bytes + size > self._options.max_queue_bytes:
             return "the stream's queue is full"
         return stream
 
-    def _open(self, peer: PeerAddress, now: float) -> PeerStream | str:
-        if self._paused_until.get(peer, now) > now:
-            return "the peer could not be reached just now"
-        if len(self._pool) >= self._options.max_streams and not self._make_room(now):
+    def _open_stream(self, peer: PeerAddress, now: float) -> PeerStream | str:
+        if self._reconnect_not_before.get(peer, now) > now:
+            return "a recent connection to the peer failed"
+        if len(self._pool) >= self._options.max_streams and not self._evict_idle(now):
             return "too many streams"
         try:
             sock = self._connect(peer)
@@ -250,12 +252,12 @@
             raise OSError(code, errno.errorcode.get(code, "connect"))
         return sock
 
-    def _make_room(self, now: float) -> bool:
-        """End the unused stream that was used longest ago."""
-        unused = [s for s in self._pool.of(self) if not self.busy(s)]
+    def _evict_idle(self, now: float) -> bool:
+        """Close the least recently used idle stream; return False if there is none."""
+        unused = [s for s in self._pool.streams_of(self) if not self.is_busy(s)]
         if not unused:
             return False
         oldest = min(unused, key=lambda stream: stream.used_at)
         self._stats.streams_idle_closed += 1
-        self._pool.end(oldest, now, "room for another")
+        self._pool.end(oldest, now, "stream limit reached")
         return True
--- a/damaskbay/adapters/peer_stream/exceptions.py
+++ b/damaskbay/adapters/peer_stream/exceptions.py
@@ -1,13 +1,13 @@
-"""Errors inside the peer stream adapter; none of them leaves it."""
+"""Errors inside the peer stream adapter; callers get a PeerFailure instead."""
 
 
 class PeerStreamError(Exception):
-    """The stream cannot go on."""
+    """The stream has to be closed."""
 
 
 class FrameError(PeerStreamError):
-    """The peer sent bytes that are no frame, or a frame out of place."""
+    """The peer sent an invalid frame, or one that is not allowed at this point."""
 
 
 class ProofError(PeerStreamError):
-    """The peer did not prove that it knows a secret."""
+    """The peer did not prove that it knows an accepted secret."""
--- a/damaskbay/adapters/peer_stream/frames.py
+++ b/damaskbay/adapters/peer_stream/frames.py
@@ -1,4 +1,4 @@
-"""Frames: a length, then the msgpack of kind, correlation id and payload."""
+"""Frame format: a length, then kind, correlation id and payload as msgpack."""
 
 import struct
 from enum import IntEnum
@@ -9,7 +9,7 @@
 from damaskbay.adapters.peer_stream.const import (
     LENGTH_BYTES,
     MAX_CORRELATION_ID,
-    MAX_UNPROVEN_FRAME_BYTES,
+    MAX_HANDSHAKE_FRAME_BYTES,
 )
 from damaskbay.adapters.peer_stream.exceptions import FrameError
 
@@ -17,7 +17,7 @@
 
 
 class FrameKind(IntEnum):
-    """What a frame is for; up to PONG they are the stream's own."""
+    """Kind of a frame; kinds up to PONG are handled by the stream itself."""
 
     HELLO = 0
     PROOF = 1
@@ -31,17 +31,17 @@
     """The request was not handled."""
 
     DROPPED = 9
-    """The request was handled, but its answer cannot be sent."""
+    """The request was handled, but its reply cannot be sent."""
 
     GOODBYE = 10
-    """The sender takes no new requests on this stream."""
+    """The sender accepts no new requests on this stream."""
 
 
 _KINDS = tuple(FrameKind)
 
 
 class Frame(NamedTuple):
-    """One frame. `correlation_id` is 0 where nothing is matched."""
+    """One frame. `correlation_id` is 0 if the frame belongs to no request."""
 
     kind: FrameKind
     correlation_id: int = 0
@@ -49,56 +49,56 @@
 
 
 def encode(kind: FrameKind, correlation_id: int = 0, payload: bytes = b"") -> bytes:
-    """Return the bytes of a frame."""
+    """Return a frame as bytes, including its length."""
     body: bytes = msgpack.packb((int(kind), correlation_id, payload))
     return _LENGTH.pack(len(body)) + body
 
 
 def decode(body: bytes | memoryview) -> Frame:
-    """Return the frame in a body without its length; raise FrameError."""
+    """Return the frame in a body without its length; raise FrameError if invalid."""
     try:
         kind, correlation_id, payload = msgpack.unpackb(body)
     except (ValueError, TypeError, RecursionError) as error:
-        raise FrameError(f"not a frame: {type(error).__name__}") from None
+        raise FrameError(f"invalid frame: {type(error).__name__}") from None
     except msgpack.exceptions.UnpackException as error:
-        raise FrameError(f"not msgpack: {type(error).__name__}") from None
+        raise FrameError(f"invalid msgpack: {type(error).__name__}") from None
     if type(kind) is not int or not 0 <= kind < len(_KINDS):
         raise FrameError("unknown frame kind")
     if type(correlation_id) is not int or not 0 <= correlation_id <= MAX_CORRELATION_ID:
-        raise FrameError("bad correlation id")
+        raise FrameError("invalid correlation id")
     if type(payload) is not bytes:
         raise FrameError("payload is not bytes")
     return Frame(_KINDS[kind], correlation_id, payload)
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames of at most `max_bytes`."""
+    """Splits a byte stream into frames of at most `max_bytes`."""
 
-    def __init__(self, max_bytes: int = MAX_UNPROVEN_FRAME_BYTES) -> None:
+    def __init__(self, max_bytes: int = MAX_HANDSHAKE_FRAME_BYTES) -> None:
         self.max_bytes = max_bytes
         self._buffer = bytearray()
 
-    def take(self, data: bytes | memoryview) -> list[Frame]:
+    def feed(self, data: bytes | memoryview) -> list[Frame]:
         """
-        Take bytes as they came and return the frames that are whole.
+        Add received bytes and return the frames that are now complete.
 
-        Raises FrameError; what came with the bad frame is lost.
+        Raises FrameError; all other frames in `data` are then lost.
         """
         frames: list[Frame] = []
         if not self._buffer:
             with memoryview(data) as view:
-                used = self._cut(view, frames)
+                used = self._decode_complete(view, frames)
                 if used < len(view):
                     self._buffer += view[used:]
             return frames
         self._buffer += data
         with memoryview(self._buffer) as view:
-            used = self._cut(view, frames)
+            used = self._decode_complete(view, frames)
         del self._buffer[:used]
         return frames
 
-    def _cut(self, view: memoryview, frames: list[Frame]) -> int:
-        """Decode the whole frames in a view; return the bytes they take."""
+    def _decode_complete(self, view: memoryview, frames: list[Frame]) -> int:
+        """Append the complete frames in a view to `frames`; return their bytes."""
         start = 0
         size = len(view)
         while size - start >= LENGTH_BYTES:
--- a/damaskbay/adapters/peer_stream/loop.py
+++ b/damaskbay/adapters/peer_stream/loop.py
@@ -1,4 +1,4 @@
-"""A task that owns sockets: one thread, a selector and a wake-up socket."""
+"""Event loop for sockets: one thread, a selector and a wake-up socket."""
 
 import contextlib
 import logging
@@ -15,19 +15,19 @@
 
 _WAKE_READ_BYTES = 4_096
 
-Ready = Callable[[int, float], None]
-"""Called with the selector's events and `now`."""
+EventHandler = Callable[[int, float], None]
+"""Handler of selector events, called with the event mask and `now`."""
 
 
-class _Stop:
-    """Ends the loop."""
+class _StopCommand:
+    """Command to stop the loop."""
 
 
 class SocketLoop(ABC):
     """
-    A loop on a thread of its own, entered and left as a context manager.
+    Event loop on its own thread; a context manager.
 
-    Other threads talk to it by `post`. `now` is in seconds of the clock.
+    Other threads send it commands with `post`. `now` is in seconds of `clock`.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         self._wake_read, self._wake_write = socket.socketpair()
         self._wake_read.setblocking(False)
         self._wake_write.setblocking(False)
-        self._selector.register(self._wake_read, selectors.EVENT_READ, self._woken)
+        self._selector.register(self._wake_read, selectors.EVENT_READ, self._on_wake_up)
         self._running = self._executor.submit(self._run)
         return self
 
@@ -64,17 +64,17 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        self._commands.append(_Stop())
+        self._commands.append(_StopCommand())
         self._wake()
         self._executor.shutdown()
         while self._commands:
-            self._guard(self.abandon, self._commands.popleft())
+            self._run_guarded(self.abandon, self._commands.popleft())
         self._selector.close()
         self._wake_read.close()
         self._wake_write.close()
 
     def post(self, command: Any) -> bool:
-        """Queue a command for the loop; return False where it has stopped."""
+        """Queue a command for the loop; return False if the loop has stopped."""
         if self._stopping:
             return False
         self._commands.append(command)
@@ -83,15 +83,15 @@
             self._wake()
         return True
 
-    def post_quietly(self, command: Any, due: float) -> None:
-        """Queue a command that need not be handled before `due` or an event."""
+    def post_deferred(self, command: Any, due: float) -> None:
+        """Queue a command that may wait until `due` or the next event."""
         self._commands.append(command)
         if due < self._sleeping_until:
             self._wake()
 
     @property
-    def full(self) -> bool:
-        """Tell whether so many commands wait that new work must be refused."""
+    def command_queue_full(self) -> bool:
+        """Return whether the command queue is full and new work must be refused."""
         return len(self._commands) >= self._max_commands
 
     @abstractmethod
@@ -100,40 +100,40 @@
 
     @abstractmethod
     def abandon(self, command: Any) -> None:
-        """Take note of a command that came too late to be handled."""
+        """Process a command that was left in the queue when the loop stopped."""
 
     @abstractmethod
-    def settle(self, now: float) -> None:
-        """Finish a round: write what the commands and events queued."""
+    def finish_round(self, now: float) -> None:
+        """Finish a round: write what its commands and events queued."""
 
     @abstractmethod
     def tick(self, now: float, late_s: float) -> None:
-        """Do what is due; `late_s` tells how long the loop itself was held up."""
+        """Run periodic work; `late_s` is the delay of the loop itself."""
 
     @abstractmethod
-    def next_due(self) -> float:
-        """Return the time of the next deadline, infinity where there is none."""
+    def next_deadline(self) -> float:
+        """Return the time of the next deadline, infinity if there is none."""
 
     @abstractmethod
-    def stopped(self) -> None:
-        """Clean up at the end, on the loop's thread."""
+    def on_stopped(self) -> None:
+        """Clean up on the loop's thread after the last round."""
 
     def _run(self) -> None:
         next_tick = self.clock() + self._tick_s
         while not self._stopping:
-            now = self._round(min(next_tick, self.next_due()))
-            if now >= next_tick or now >= self.next_due():
-                self._guard(self.tick, now, max(0.0, now - next_tick))
-                self._guard(self.settle, now)
+            now = self._round(min(next_tick, self.next_deadline()))
+            if now >= next_tick or now >= self.next_deadline():
+                self._run_guarded(self.tick, now, max(0.0, now - next_tick))
+                self._run_guarded(self.finish_round, now)
                 next_tick = now + self._tick_s
-        self._guard(self.stopped)
+        self._run_guarded(self.on_stopped)
 
     def _round(self, until: float) -> float:
         """
         Wait, then handle the commands, then the events; return the time.
 
-        A command that was queued before its frame was written is handled before
-        the answer to that frame.
+        Commands go first, so that a request whose command was queued before its
+        frame was written is tracked before the reply to that frame is read.
         """
         self._sleeping_until = until
         self._sleeping = True
@@ -142,28 +142,28 @@
         self._sleeping = False
         now = self.clock()
         if self._commands:
-            self._work(now)
+            self._handle_queued_commands(now)
         for key, mask in events:
-            self._guard(key.data, mask, now)
+            self._run_guarded(key.data, mask, now)
         if self._commands:
-            self._work(now)
-        self._guard(self.settle, now)
+            self._handle_queued_commands(now)
+        self._run_guarded(self.finish_round, now)
         return now
 
-    def catch_up(self, now: float) -> None:
-        """Handle the commands that came since the round began."""
+    def handle_new_commands(self, now: float) -> None:
+        """Handle the commands that were queued since the round began."""
         if self._commands:
-            self._work(now)
+            self._handle_queued_commands(now)
 
-    def _work(self, now: float) -> None:
+    def _handle_queued_commands(self, now: float) -> None:
         for _ in range(len(self._commands)):
             command = self._commands.popleft()
-            if isinstance(command, _Stop):
+            if isinstance(command, _StopCommand):
                 self._stopping = True
             else:
-                self._guard(self.handle, command, now)
+                self._run_guarded(self.handle, command, now)
 
-    def _woken(self, _mask: int, _now: float) -> None:
+    def _on_wake_up(self, _mask: int, _now: float) -> None:
         with contextlib.suppress(BlockingIOError):
             self._wake_read.recv(_WAKE_READ_BYTES)
 
@@ -171,7 +171,7 @@
         with contextlib.suppress(OSError):
             self._wake_write.send(b"\0")
 
-    def _guard(self, step: Callable[..., None], *arguments: Any) -> None:
+    def _run_guarded(self, step: Callable[..., None], *arguments: Any) -> None:
         try:
             step(*arguments)
         except Exception:
--- a/damaskbay/adapters/peer_stream/options.py
+++ b/damaskbay/adapters/peer_stream/options.py
@@ -1,4 +1,4 @@
-"""Limits and times of peer streams, and what they count."""
+"""Options and counters of peer streams."""
 
 from dataclasses import dataclass
 
@@ -8,28 +8,29 @@
 @dataclass(frozen=True, slots=True)
 class PeerStreamOptions:
     """
-    Limits and times; times in seconds.
+    Limits and times of peer streams; times in seconds.
 
-    A stream with requests under way that brings no byte for `heartbeat_s` is
-    pinged, then at pauses that double up to `busy_heartbeat_max_s`. It is
-    suspect, so that new requests take a new stream, when a ping is unanswered
-    for `suspect_heartbeats`, and closed after `silent_heartbeats`. Streams
-    without requests are pinged every `idle_heartbeat_s`.
+    A stream with requests in flight that receives no byte for `heartbeat_s` is
+    pinged, then at intervals that double up to `busy_heartbeat_max_s`. If a ping
+    gets no reply for `suspect_heartbeats` times `heartbeat_s`, the stream is
+    suspect and new requests use a new stream; after `unresponsive_heartbeats`
+    times `heartbeat_s` it is closed. Streams without requests are pinged every
+    `idle_heartbeat_s`.
     """
 
     max_frame_bytes: int = MAX_BODY_BYTES + 1024 * 1024
     max_queue_bytes: int = 2 * MAX_BODY_BYTES
     max_streams: int = 1_024
-    max_unproven_streams: int = 128
+    max_unauthenticated_streams: int = 128
     max_requests: int = 4_096
     max_running_per_stream: int = 1_024
     max_commands: int = 16_384
     handshake_timeout_s: float = 2.0
-    reconnect_pause_s: float = 0.05
+    reconnect_delay_s: float = 0.05
     heartbeat_s: float = 0.25
     busy_heartbeat_max_s: float = 1.0
     suspect_heartbeats: float = 1.0
-    silent_heartbeats: float = 4.0
+    unresponsive_heartbeats: float = 4.0
     idle_heartbeat_s: float = 5.0
     idle_close_s: float = 60.0
     tick_s: float = 0.1
@@ -38,7 +39,7 @@
 
 @dataclass(slots=True)
 class PeerStreamStats:
-    """Counters since the start, and the present sizes (`streams`, `requests`)."""
+    """Counters since the start, and current sizes (`streams`, `requests`)."""
 
     streams: int = 0
     requests: int = 0
@@ -46,15 +47,15 @@
     streams_accepted: int = 0
     streams_refused: int = 0
     streams_failed: int = 0
-    streams_silent: int = 0
+    streams_unresponsive: int = 0
     streams_suspect: int = 0
     streams_slow: int = 0
     streams_idle_closed: int = 0
-    proofs_refused: int = 0
-    frames_refused: int = 0
+    proofs_rejected: int = 0
+    frames_rejected: int = 0
     messages_rejected: int = 0
-    answers_stray: int = 0
-    answers_dropped: int = 0
+    replies_unmatched: int = 0
+    replies_dropped: int = 0
     sends_dropped: int = 0
     requests_sent: int = 0
     requests_received: int = 0
--- a/damaskbay/adapters/peer_stream/outbox.py
+++ b/damaskbay/adapters/peer_stream/outbox.py
@@ -1,4 +1,4 @@
-"""The bounded queue of frames that wait to be written to one stream."""
+"""Queue of frames to be written to one stream."""
 
 import socket
 import ssl
@@ -9,35 +9,35 @@
 
 
 @dataclass(slots=True, eq=False)
-class Outgoing:
-    """A frame to send; `started` once a byte of it may have left the process."""
+class OutgoingFrame:
+    """Frame to send; `started` once a byte of it may have left the process."""
 
     data: bytes
     started: bool = False
 
 
 class Outbox:
-    """Frames in order. Writes what the socket takes, never blocks."""
+    """First-in, first-out queue of frames; writes without blocking."""
 
     def __init__(self) -> None:
         self.queued_bytes = 0
         self.sent_bytes = 0
-        self._frames: deque[Outgoing] = deque()
+        self._frames: deque[OutgoingFrame] = deque()
         self._offset = 0
 
     def __bool__(self) -> bool:
         return bool(self._frames)
 
-    def put(self, frame: Outgoing) -> None:
-        """Queue a frame."""
+    def put(self, frame: OutgoingFrame) -> None:
+        """Append a frame."""
         self._frames.append(frame)
         self.queued_bytes += len(frame.data)
 
-    def send_first(self, sock: socket.socket, frame: Outgoing) -> None:
+    def send_first(self, sock: socket.socket, frame: OutgoingFrame) -> None:
         """
-        Write a frame while nothing is queued; queue what the socket leaves.
+        Write a frame to a socket; queue the rest. The queue must be empty.
 
-        An error of the socket is left to the next flush to find.
+        A socket error is not raised here: the next flush raises it.
         """
         try:
             sent = sock.send(frame.data)
@@ -49,8 +49,8 @@
             self._offset = sent
             self.put(frame)
 
-    def withdraw(self, frame: Outgoing) -> bool:
-        """Take a frame back; return False where a byte of it may have left."""
+    def withdraw(self, frame: OutgoingFrame) -> bool:
+        """Remove a frame; return False if a byte of it may have left."""
         if frame.started:
             return False
         try:
@@ -61,13 +61,13 @@
         return True
 
     def move_to(self, other: "Outbox") -> None:
-        """Hand over all frames, none of which has started."""
+        """Move all frames to another outbox; none of them has started."""
         while self._frames:
             other.put(self._frames.popleft())
         self.queued_bytes = 0
 
     def flush(self, sock: socket.socket) -> None:
-        """Write until the socket takes no more; raise OSError."""
+        """Write until the socket would block; raise OSError if it fails."""
         while self._frames:
             try:
                 sent = self._write(sock)
@@ -79,7 +79,7 @@
     def _write(self, sock: socket.socket) -> int:
         head = self._frames[0]
         if isinstance(sock, ssl.SSLSocket):
-            # A record may be half written when the socket takes no more.
+            # Part of a TLS record may be written even if the socket would block.
             head.started = True
             return sock.send(memoryview(head.data)[self._offset :])
         if len(self._frames) == 1:
--- a/damaskbay/adapters/peer_stream/pool.py
+++ b/damaskbay/adapters/peer_stream/pool.py
@@ -1,4 +1,4 @@
-"""All streams of one task: waits for them, writes to them, ends them."""
+"""All streams of one loop: socket events, writes, liveness checks and closing."""
 
 import logging
 import selectors
@@ -14,35 +14,35 @@
     ProofError,
 )
 from damaskbay.adapters.peer_stream.frames import Frame, FrameKind
-from damaskbay.adapters.peer_stream.liveness import Verdict
+from damaskbay.adapters.peer_stream.liveness import LivenessStatus
 from damaskbay.adapters.peer_stream.options import PeerStreamOptions, PeerStreamStats
-from damaskbay.adapters.peer_stream.outbox import Outgoing
+from damaskbay.adapters.peer_stream.outbox import OutgoingFrame
 from damaskbay.adapters.peer_stream.stream import PeerStream
 
 _LOGGER = logging.getLogger(__name__)
 
 
-class Side(Protocol):
-    """What is done with the frames of a stream: one side each for both roles."""
+class StreamEndpoint(Protocol):
+    """Owner of the streams of one role, which handles their frames."""
 
     def on_frame(self, stream: PeerStream, frame: Frame, now: float) -> None:
-        """Handle a proven peer's frame; raise FrameError where out of place."""
+        """Handle a frame of an authenticated peer; raise FrameError if not allowed."""
         ...
 
     def on_end(self, stream: PeerStream, now: float, detail: str) -> None:
-        """Settle what was under way on a stream that has ended."""
+        """Fail or cancel the requests in flight on a stream that has ended."""
         ...
 
-    def busy(self, stream: PeerStream) -> bool:
-        """Tell whether requests are under way on a stream."""
+    def is_busy(self, stream: PeerStream) -> bool:
+        """Return whether requests are in flight on a stream."""
         ...
 
 
 class StreamPool:
     """
-    Streams with the side that each belongs to.
+    Streams with the endpoint that each belongs to.
 
-    `catch_up` handles what other threads have asked for meanwhile.
+    `handle_new_commands` handles commands that other threads have queued.
     """
 
     def __init__(
@@ -50,32 +50,32 @@
         selector: selectors.BaseSelector,
         options: PeerStreamOptions,
         stats: PeerStreamStats,
-        catch_up: Callable[[float], None],
+        handle_new_commands: Callable[[float], None],
     ) -> None:
         self._selector = selector
-        self._catch_up = catch_up
+        self._handle_new_commands = handle_new_commands
         self._options = options
         self._stats = stats
-        self._sides: dict[PeerStream, Side] = {}
+        self._endpoints: dict[PeerStream, StreamEndpoint] = {}
         self._dirty: set[PeerStream] = set()
         self._interest: dict[PeerStream, int] = {}
         self._buffer = bytearray(RECEIVE_BYTES)
 
     def __len__(self) -> int:
-        return len(self._sides)
+        return len(self._endpoints)
 
-    def of(self, side: Side) -> tuple[PeerStream, ...]:
-        """Return the streams of one side, oldest first."""
-        return tuple(s for s, owner in self._sides.items() if owner is side)
+    def streams_of(self, endpoint: StreamEndpoint) -> tuple[PeerStream, ...]:
+        """Return the streams of one endpoint, oldest first."""
+        return tuple(s for s, owner in self._endpoints.items() if owner is endpoint)
 
-    def add(self, stream: PeerStream, side: Side) -> None:
-        """Take a stream in."""
-        self._sides[stream] = side
+    def add(self, stream: PeerStream, endpoint: StreamEndpoint) -> None:
+        """Add a stream and watch its socket."""
+        self._endpoints[stream] = endpoint
         self._interest[stream] = stream.interest
         self._selector.register(
-            stream.sock, stream.interest, partial(self._ready, stream)
+            stream.sock, stream.interest, partial(self._on_events, stream)
         )
-        self._stats.streams = len(self._sides)
+        self._stats.streams = len(self._endpoints)
 
     def put(
         self,
@@ -83,25 +83,25 @@
         kind: FrameKind,
         correlation_id: int = 0,
         payload: bytes = b"",
-    ) -> Outgoing:
-        """Queue a frame; it is written when the round settles."""
+    ) -> OutgoingFrame:
+        """Queue a frame; it is written at the end of the round."""
         self._dirty.add(stream)
         return stream.put(kind, correlation_id, payload)
 
-    def touch(self, stream: PeerStream) -> None:
-        """Write to a stream when the round settles."""
+    def mark_dirty(self, stream: PeerStream) -> None:
+        """Mark a stream for a write at the end of the round."""
         self._dirty.add(stream)
 
     @property
-    def unsettled(self) -> bool:
-        """Tell whether a stream has something to write or to watch."""
+    def has_pending_writes(self) -> bool:
+        """Return whether a stream is marked for a write."""
         return bool(self._dirty)
 
-    def settle(self, now: float) -> None:
-        """Write to the streams that have something queued."""
+    def flush(self, now: float) -> None:
+        """Write to the marked streams and update their selector events."""
         while self._dirty:
             stream = self._dirty.pop()
-            if stream not in self._sides:
+            if stream not in self._endpoints:
                 continue
             try:
                 stream.flush()
@@ -113,58 +113,58 @@
                 > self._options.max_queue_bytes + CONTROL_RESERVE_BYTES
             ):
                 self._stats.streams_slow += 1
-                self.end(stream, now, "the peer reads too slowly")
+                self.end(stream, now, "peer reads too slowly")
             else:
-                self._watch(stream)
+                self._update_interest(stream)
 
     def tick(self, now: float, late_s: float) -> None:
-        """Ping what is quiet, end what is silent or not proven in time."""
-        for stream, side in tuple(self._sides.items()):
+        """Ping idle streams; close unresponsive or not yet authenticated ones."""
+        for stream, endpoint in tuple(self._endpoints.items()):
             self._stats.bytes_sent += stream.take_sent_bytes()
-            if not stream.proven:
+            if not stream.authenticated:
                 if now - stream.opened_at > self._options.handshake_timeout_s:
                     self._stats.streams_failed += 1
-                    self.end(stream, now, "no proof in time")
+                    self.end(stream, now, "handshake timed out")
                 continue
             if late_s > self._options.heartbeat_s:
-                stream.liveness.forgive(now)
-            verdict = stream.liveness.due(now, busy=side.busy(stream))
-            if verdict is Verdict.PING:
+                stream.liveness.restart_ping_timeout(now)
+            status = stream.liveness.check(now, busy=endpoint.is_busy(stream))
+            if status is LivenessStatus.PING_DUE:
                 self.put(stream, FrameKind.PING)
-            elif verdict is Verdict.SILENT:
-                self._stats.streams_silent += 1
-                self.end(stream, now, "silent")
+            elif status is LivenessStatus.UNRESPONSIVE:
+                self._stats.streams_unresponsive += 1
+                self.end(stream, now, "peer is unresponsive")
 
     def end(self, stream: PeerStream, now: float, detail: str) -> None:
-        """Close a stream and settle what was under way on it."""
-        side = self._sides.pop(stream, None)
-        if side is None:
+        """Close a stream and notify its endpoint."""
+        endpoint = self._endpoints.pop(stream, None)
+        if endpoint is None:
             return
         self._interest.pop(stream)
         self._dirty.discard(stream)
         self._selector.unregister(stream.sock)
         stream.close()
         self._stats.bytes_sent += stream.take_sent_bytes()
-        self._stats.streams = len(self._sides)
-        side.on_end(stream, now, detail)
+        self._stats.streams = len(self._endpoints)
+        endpoint.on_end(stream, now, detail)
 
-    def _ready(self, stream: PeerStream, events: int, now: float) -> None:
-        side = self._sides.get(stream)
-        if side is None:
+    def _on_events(self, stream: PeerStream, events: int, now: float) -> None:
+        endpoint = self._endpoints.get(stream)
+        if endpoint is None:
             return
-        was_proven = stream.proven
+        was_authenticated = stream.authenticated
         try:
-            frames = stream.pump(events, now, self._buffer)
+            frames = stream.process_events(events, now, self._buffer)
             if frames:
-                # An answer may have come before its request was taken over.
-                self._catch_up(now)
+                # A reply may arrive before the command that tracks its request.
+                self._handle_new_commands(now)
             for frame in frames:
-                if stream not in self._sides:
+                if stream not in self._endpoints:
                     return
-                side.on_frame(stream, frame, now)
-            if stream not in self._sides:
+                endpoint.on_frame(stream, frame, now)
+            if stream not in self._endpoints:
                 return
-            if stream.backlogged or not was_proven:
+            if stream.backlogged or not was_authenticated:
                 self._dirty.add(stream)
         except (OSError, PeerStreamError) as error:
             self._fail(stream, now, error)
@@ -176,16 +176,16 @@
         self, stream: PeerStream, now: float, error: OSError | PeerStreamError
     ) -> None:
         if isinstance(error, ProofError):
-            self._stats.proofs_refused += 1
+            self._stats.proofs_rejected += 1
         elif isinstance(error, FrameError):
-            self._stats.frames_refused += 1
-        elif not stream.proven or isinstance(error, ssl.SSLError):
+            self._stats.frames_rejected += 1
+        elif not stream.authenticated or isinstance(error, ssl.SSLError):
             self._stats.streams_failed += 1
         self.end(stream, now, str(error))
 
-    def _watch(self, stream: PeerStream) -> None:
+    def _update_interest(self, stream: PeerStream) -> None:
         interest = stream.interest
         if interest != self._interest[stream]:
-            ready = partial(self._ready, stream)
+            ready = partial(self._on_events, stream)
             self._selector.modify(stream.sock, interest, ready)
             self._interest[stream] = interest
--- a/damaskbay/adapters/peer_stream/proof.py
+++ b/damaskbay/adapters/peer_stream/proof.py
@@ -1,4 +1,4 @@
-"""Mutual proof of a shared secret by HMAC over both hellos and the role."""
+"""Mutual authentication: each end proves a shared secret by an HMAC."""
 
 import hashlib
 import hmac
@@ -8,7 +8,7 @@
 from enum import Enum
 
 from damaskbay.adapters.peer_stream.const import (
-    MAX_UNPROVEN_FRAME_BYTES,
+    MAX_HANDSHAKE_FRAME_BYTES,
     NONCE_BYTES,
     PROTOCOL_VERSION,
 )
@@ -21,21 +21,21 @@
 
 
 class Role(Enum):
-    """Which end of a stream: the one that connected, or the one that listened."""
+    """End of a stream: the one that connected, or the one that accepted."""
 
     INITIATOR = b"initiator"
     ACCEPTOR = b"acceptor"
 
     @property
     def other(self) -> "Role":
-        """Return the role of the other end."""
+        """Return the role of the peer."""
         return Role.ACCEPTOR if self is Role.INITIATOR else Role.INITIATOR
 
 
 @message("peer.hello")
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The first frame from each end; the nonce is fresh for each stream."""
+    """First message from each end; the nonce is new for each stream."""
 
     version: int
     instance: str
@@ -44,8 +44,8 @@
     nonce: bytes
 
 
-def mac_of(secret: bytes, role: Role, initiator: bytes, acceptor: bytes) -> bytes:
-    """Return the proof of one role; each hello goes in with its length."""
+def compute_mac(secret: bytes, role: Role, initiator: bytes, acceptor: bytes) -> bytes:
+    """Return the HMAC that proves one role; it covers role and hellos with lengths."""
     digest = hmac.new(secret, _LABEL, hashlib.sha256)
     for part in (role.value, initiator, acceptor):
         digest.update(len(part).to_bytes(4, "big"))
@@ -55,10 +55,11 @@
 
 class Handshake:
     """
-    One end of the handshake, without a socket.
+    State of one end of the handshake, without I/O.
 
-    The initiator proves itself first; the acceptor says nothing that depends on
-    the secret to an unproven peer. `identity` is the peer's once `proven`.
+    The initiator sends its proof first; the acceptor sends nothing derived from
+    the secret to an unauthenticated peer. `identity` is the identity that the
+    peer claims; it can be trusted once `authenticated` is set.
     """
 
     def __init__(
@@ -66,9 +67,9 @@
     ) -> None:
         self.role = role
         self.identity: PeerIdentity | None = None
-        self.proven = False
+        self.authenticated = False
         self._secrets = tuple(secrets)
-        self._own = pack(
+        self._local_hello = pack(
             Hello(
                 PROTOCOL_VERSION,
                 identity.instance,
@@ -77,58 +78,62 @@
                 random_source.token_bytes(NONCE_BYTES),
             )
         )
-        self._peer: bytes | None = None
+        self._peer_hello: bytes | None = None
 
     def start(self) -> bytes:
-        """Return the bytes to send first."""
+        """Return the bytes to send first; the acceptor sends none."""
         if self.role is Role.INITIATOR:
-            return encode(FrameKind.HELLO, payload=self._own)
+            return encode(FrameKind.HELLO, payload=self._local_hello)
         return b""
 
     def handle(self, frame: Frame) -> bytes:
-        """Take a frame and return the bytes to send; raise ProofError."""
-        if frame.kind is FrameKind.HELLO and self._peer is None:
+        """Process a frame and return the bytes to send; raise ProofError if invalid."""
+        if frame.kind is FrameKind.HELLO and self._peer_hello is None:
             return self._handle_hello(frame.payload)
-        if frame.kind is FrameKind.PROOF and self._peer is not None:
+        if frame.kind is FrameKind.PROOF and self._peer_hello is not None:
             return self._handle_proof(frame.payload)
-        raise ProofError(f"{frame.kind.name} before proof")
+        raise ProofError(f"{frame.kind.name} before authentication")
 
     def _handle_hello(self, payload: bytes) -> bytes:
-        hello = unpack(payload, max_bytes=MAX_UNPROVEN_FRAME_BYTES)
+        hello = unpack(payload, max_bytes=MAX_HANDSHAKE_FRAME_BYTES)
         if not isinstance(hello, Hello):
-            raise ProofError("bad hello")
+            raise ProofError("invalid hello")
         if hello.version != PROTOCOL_VERSION:
             raise ProofError(f"protocol version {hello.version} is not supported")
-        if len(hello.nonce) != NONCE_BYTES or payload == self._own:
-            raise ProofError("bad nonce")
-        self._peer = payload
+        if len(hello.nonce) != NONCE_BYTES or payload == self._local_hello:
+            raise ProofError("invalid nonce")
+        self._peer_hello = payload
         self.identity = PeerIdentity(
             hello.instance, hello.incarnation, hello.failure_domain
         )
         if self.role is Role.ACCEPTOR:
-            return encode(FrameKind.HELLO, payload=self._own)
-        return self._own_proof()
+            return encode(FrameKind.HELLO, payload=self._local_hello)
+        return self._proof_frame()
 
     def _handle_proof(self, payload: bytes) -> bytes:
-        if not self._accepts(payload):
+        if not self._matches_secret(payload):
             raise ProofError("proof does not match any secret")
-        self.proven = True
-        return self._own_proof() if self.role is Role.ACCEPTOR else b""
+        self.authenticated = True
+        return self._proof_frame() if self.role is Role.ACCEPTOR else b""
 
-    def _accepts(self, mac: bytes) -> bool:
-        """Compare with each secret, always all of them."""
+    def _matches_secret(self, mac: bytes) -> bool:
+        """
+        Return whether a secret matches.
+
+        Compares all secrets, so that the time taken does not show which one matched.
+        """
         matches = [
             hmac.compare_digest(mac, self._mac(secret, self.role.other))
             for secret in self._secrets
         ]
         return any(matches)
 
-    def _own_proof(self) -> bytes:
+    def _proof_frame(self) -> bytes:
         mac = self._mac(self._secrets[0], self.role)
         return encode(FrameKind.PROOF, payload=mac)
 
     def _mac(self, secret: bytes, role: Role) -> bytes:
-        peer = self._peer or b""
+        peer_hello = self._peer_hello or b""
         if self.role is Role.INITIATOR:
-            return mac_of(secret, role, self._own, peer)
-        return mac_of(secret, role, peer, self._own)
+            return compute_mac(secret, role, self._local_hello, peer_hello)
+        return compute_mac(secret, role, peer_hello, self._local_hello)
--- a/damaskbay/adapters/peer_stream/request.py
+++ b/damaskbay/adapters/peer_stream/request.py
@@ -1,24 +1,24 @@
-"""A request from its call to its end, at the side that asked."""
+"""Requests that this daemon has sent or is about to send."""
 
 from collections.abc import Callable
 from concurrent.futures import Future, InvalidStateError
 from dataclasses import dataclass, field
 from typing import Any
 
-from damaskbay.adapters.peer_stream.outbox import Outgoing
+from damaskbay.adapters.peer_stream.outbox import OutgoingFrame
 from damaskbay.adapters.peer_stream.stream import PeerStream
 from damaskbay.ports.peer import PeerAddress, PeerFailure, PeerProblem
 
 
 class RequestFuture(Future[Any]):
-    """A future that tells of its cancellation."""
+    """Future that calls `on_cancel` when it is cancelled."""
 
     def __init__(self) -> None:
         super().__init__()
         self.on_cancel: Callable[[], object] | None = None
 
     def cancel(self) -> bool:
-        """Cancel; return False where there is a result already."""
+        """Cancel the future; return False if it already has a result."""
         cancelled = super().cancel()
         if cancelled and self.on_cancel is not None:
             self.on_cancel()
@@ -28,9 +28,9 @@
 @dataclass(slots=True, eq=False)
 class OutgoingRequest:
     """
-    A request from its call to its end. `deadline` is in the loop's seconds.
+    Request to a peer. `deadline` is in seconds of the loop's clock.
 
-    `stream` and `frame` are set once it is bound to a stream.
+    `stream` and `frame` are set once the request is assigned to a stream.
     """
 
     correlation_id: int
@@ -39,17 +39,17 @@
     deadline: float
     future: RequestFuture = field(default_factory=RequestFuture)
     stream: PeerStream | None = None
-    frame: Outgoing | None = None
+    frame: OutgoingFrame | None = None
 
-    def end(self, result: Any) -> None:
-        """Hand the caller its result; a cancelled future takes none."""
+    def complete(self, result: Any) -> None:
+        """Set the result of the future, unless it is done or cancelled."""
         try:
             self.future.set_result(result)
         except InvalidStateError:
             return
 
     def fail(self, problem: PeerProblem, detail: str) -> None:
-        """Hand the caller a failure, as NOT_SENT where no byte had left."""
+        """Set a failure as the result: NOT_SENT if no byte has been written."""
         if self.frame is None or not self.frame.started:
             problem = PeerProblem.NOT_SENT
-        self.end(PeerFailure(problem, detail))
+        self.complete(PeerFailure(problem, detail))
--- a/damaskbay/adapters/peer_stream/responder.py
+++ b/damaskbay/adapters/peer_stream/responder.py
@@ -1,4 +1,4 @@
-"""Running requests and what handlers answer them with."""
+"""Requests that run in this daemon, and the responders for their handlers."""
 
 import math
 from collections.abc import Callable
@@ -6,14 +6,14 @@
 from typing import Any, Protocol
 
 from damaskbay.adapters.peer_stream.frames import FrameKind, encode
-from damaskbay.adapters.peer_stream.outbox import Outgoing
+from damaskbay.adapters.peer_stream.outbox import OutgoingFrame
 from damaskbay.adapters.peer_stream.stream import PeerStream
 from damaskbay.helpers.messages import pack
 
 
 @dataclass(slots=True, eq=False)
 class IncomingRequest:
-    """A request that runs here; `open` until it is answered or cancelled."""
+    """Request that runs here; `open` until its reply is sent or it is cancelled."""
 
     stream: PeerStream
     correlation_id: int
@@ -23,8 +23,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerCommand:
-    """Send an answer, packed by the thread that gave it."""
+class ReplyCommand:
+    """Command to send a reply, already packed by the handler's thread."""
 
     request: IncomingRequest
     payload: bytes
@@ -32,75 +32,75 @@
 
 @dataclass(frozen=True, slots=True)
 class FlushCommand:
-    """Write what the socket did not take at once."""
+    """Command to write the rest of a frame that was written in part."""
 
     stream: PeerStream
 
 
 @dataclass(frozen=True, slots=True)
 class OnCancelCommand:
-    """Call back when the request is cancelled."""
+    """Command to add a callback for the cancellation of a request."""
 
     request: IncomingRequest
     callback: Callable[[], None]
 
 
-class Mailbox(Protocol):
-    """Takes commands for the loop; safe from any thread."""
+class CommandQueue(Protocol):
+    """Queue of commands for the loop; thread-safe."""
 
     def post(self, command: Any) -> bool:
-        """Queue a command; return False where the loop has stopped."""
+        """Queue a command; return False if the loop has stopped."""
         ...
 
-    def post_quietly(self, command: Any, due: float) -> None:
-        """Queue a command that need not be handled before `due` or an event."""
+    def post_deferred(self, command: Any, due: float) -> None:
+        """Queue a command that may wait until `due` or the loop's next event."""
         ...
 
 
 class StreamResponder:
-    """Answers one request; safe from any thread."""
+    """Sends the reply to one request; thread-safe."""
 
-    __slots__ = ("_mailbox", "_request")
+    __slots__ = ("_command_queue", "_request")
 
-    def __init__(self, request: IncomingRequest, mailbox: Mailbox) -> None:
+    def __init__(self, request: IncomingRequest, command_queue: CommandQueue) -> None:
         self._request = request
-        self._mailbox = mailbox
+        self._command_queue = command_queue
 
     def answer(self, message: Any) -> None:
-        """Send the answer; a second one is dropped."""
+        """Send the reply; a second one is dropped."""
         if not self._request.open:
             return
         payload = pack(message)
-        if not self._answer_now(payload):
-            self._mailbox.post(AnswerCommand(self._request, payload))
+        if not self._try_reply(payload):
+            self._command_queue.post(ReplyCommand(self._request, payload))
 
     def on_cancel(self, callback: Callable[[], None]) -> None:
-        """Call back on the loop's thread when the request is cancelled."""
-        self._mailbox.post(OnCancelCommand(self._request, callback))
+        """Add a callback that runs on the loop's thread if the request is cancelled."""
+        self._command_queue.post(OnCancelCommand(self._request, callback))
 
-    def _answer_now(self, payload: bytes) -> bool:
-        """Write the answer from the calling thread where its stream is free."""
+    def _try_reply(self, payload: bytes) -> bool:
+        """Write the reply from this thread; return False if it must be queued."""
         request = self._request
-        frame = Outgoing(encode(FrameKind.ANSWER, request.correlation_id, payload))
-        if not request.stream.send_now(frame, self._announce, request):
+        frame = OutgoingFrame(encode(FrameKind.ANSWER, request.correlation_id, payload))
+        if not request.stream.try_send(frame, self._before_write, request):
             return False
         if request.stream.backlogged:
-            self._mailbox.post(FlushCommand(request.stream))
+            self._command_queue.post(FlushCommand(request.stream))
         return True
 
-    def _announce(self, request: IncomingRequest) -> bool:
+    def _before_write(self, request: IncomingRequest) -> bool:
         if not request.open:
             return False
         request.open = False
-        self._mailbox.post_quietly(request, math.inf)
+        self._command_queue.post_deferred(request, math.inf)
         return True
 
 
-class NoResponder:
-    """Stands in where the sender wants no answer."""
+class NullResponder:
+    """Responder of a one-way message, which discards replies."""
 
     def answer(self, message: Any) -> None:
-        """Drop the answer."""
+        """Discard the reply."""
 
     def on_cancel(self, callback: Callable[[], None]) -> None:
-        """Ignore: nothing can be cancelled."""
+        """Ignore the callback: a one-way message cannot be cancelled."""
--- a/damaskbay/adapters/peer_stream/server.py
+++ b/damaskbay/adapters/peer_stream/server.py
@@ -1,4 +1,4 @@
-"""The answering side: the listener, the streams it accepts, the running requests."""
+"""Handling of requests: listener, accepted streams and running requests."""
 
 import contextlib
 import logging
@@ -15,11 +15,11 @@
 from damaskbay.adapters.peer_stream.pool import StreamPool
 from damaskbay.adapters.peer_stream.proof import Handshake, Role
 from damaskbay.adapters.peer_stream.responder import (
-    AnswerCommand,
+    CommandQueue,
     IncomingRequest,
-    Mailbox,
-    NoResponder,
+    NullResponder,
     OnCancelCommand,
+    ReplyCommand,
     StreamResponder,
 )
 from damaskbay.adapters.peer_stream.stream import PeerStream
@@ -29,8 +29,8 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-class AnsweringSide:
-    """Accepts streams and hands requests to handlers. Used by the loop only."""
+class RequestServer:
+    """Accepts streams and passes requests to handlers; used on the loop's thread."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         options: PeerStreamOptions,
         stats: PeerStreamStats,
         tls: ssl.SSLContext | None,
-        mailbox: Mailbox,
+        command_queue: CommandQueue,
     ) -> None:
         self._identity = identity
         self._secrets = secrets
@@ -48,7 +48,7 @@
         self._options = options
         self._stats = stats
         self._tls = tls
-        self._mailbox = mailbox
+        self._command_queue = command_queue
         self._handlers: dict[type[Any], Handler] = {}
         self._running: dict[PeerStream, dict[int, IncomingRequest]] = {}
         self._listener: socket.socket | None = None
@@ -56,13 +56,13 @@
         self.draining = False
 
     def register(self, message_type: type[Any], handler: Handler) -> None:
-        """Handle messages of one type."""
+        """Register the handler of one message type."""
         self._handlers[message_type] = handler
 
     def listen(
         self, address: PeerAddress, selector: selectors.BaseSelector
     ) -> PeerAddress:
-        """Open the listener; return its address with the port it got."""
+        """Open the listener; return its address with the actual port."""
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
         listener = socket.create_server(
             (address.host, address.port), family=family, backlog=self._options.backlog
@@ -75,32 +75,34 @@
         return PeerAddress(host, port)
 
     def close_listener(self) -> None:
-        """Take no new streams."""
+        """Stop accepting streams."""
         if self._listener is not None and self._selector is not None:
             self._selector.unregister(self._listener)
             self._listener.close()
             self._listener = None
 
     def drain(self) -> None:
-        """Take no new streams and requests; running ones go on."""
+        """Refuse new streams and requests; running requests continue."""
         self.draining = True
         self.close_listener()
-        for stream in self._pool.of(self):
+        for stream in self._pool.streams_of(self):
             self._pool.put(stream, FrameKind.GOODBYE)
 
     @property
     def drained(self) -> bool:
-        """Tell whether nothing runs and every answer is written."""
+        """Return whether no request runs and all replies are written."""
         return not any(self._running.values()) and not any(
-            stream.queued_bytes for stream in self._pool.of(self) if stream.proven
+            stream.queued_bytes
+            for stream in self._pool.streams_of(self)
+            if stream.authenticated
         )
 
-    def answer(self, command: AnswerCommand) -> None:
-        """Send an answer, or tell the peer that it cannot be sent."""
+    def send_reply(self, command: ReplyCommand) -> None:
+        """Send a reply, or a DROPPED frame if it is too large for frame or queue."""
         request = command.request
         if not request.open:
             return
-        self._close(request)
+        self._finish(request)
         stream, size = request.stream, len(command.payload)
         queued = stream.queued_bytes
         room = self._options.max_queue_bytes - queued
@@ -109,25 +111,25 @@
                 stream, FrameKind.ANSWER, request.correlation_id, command.payload
             )
             return
-        self._stats.answers_dropped += 1
+        self._stats.replies_dropped += 1
         self._pool.put(stream, FrameKind.DROPPED, request.correlation_id)
 
-    def answered(self, request: IncomingRequest) -> None:
-        """Forget a request whose answer was written by its own thread."""
-        self._forget(request)
+    def remove_replied(self, request: IncomingRequest) -> None:
+        """Stop tracking a request whose reply was written by another thread."""
+        self._remove(request)
 
     def add_on_cancel(self, command: OnCancelCommand) -> None:
-        """Keep the callback, or call at once where the request is cancelled."""
+        """Add the callback, or run it at once if the request is already cancelled."""
         if command.request.open:
             command.request.on_cancel.append(command.callback)
         elif command.request.cancelled:
-            self._call(command.callback)
+            self._run_callback(command.callback)
 
     def on_frame(self, stream: PeerStream, frame: Frame, now: float) -> None:
         """Handle a request, a one-way message or a cancellation."""
         stream.used_at = now
         if frame.kind is FrameKind.REQUEST:
-            self._run(stream, frame)
+            self._handle_request(stream, frame)
         elif frame.kind is FrameKind.SEND:
             self._handle_one_way(stream, frame)
         elif frame.kind is FrameKind.CANCEL:
@@ -138,13 +140,13 @@
             raise FrameError(f"{frame.kind.name} from an initiator")
 
     def on_end(self, stream: PeerStream, now: float, detail: str) -> None:
-        """Cancel what runs for a peer that is gone."""
+        """Cancel the running requests of a stream that has ended."""
         for request in tuple(self._running[stream].values()):
             self._cancel(request)
         del self._running[stream]
 
-    def busy(self, stream: PeerStream) -> bool:
-        """Tell whether requests of a stream are running."""
+    def is_busy(self, stream: PeerStream) -> bool:
+        """Return whether requests of a stream are running."""
         return bool(self._running.get(stream))
 
     def _accept(self, _events: int, now: float) -> None:
@@ -153,16 +155,18 @@
         with contextlib.suppress(BlockingIOError, ConnectionError):
             while True:
                 sock, name = self._listener.accept()
-                self._take(sock, PeerAddress(name[0], name[1]), now)
+                self._add_stream(sock, PeerAddress(name[0], name[1]), now)
 
-    def _take(self, sock: socket.socket, address: PeerAddress, now: float) -> None:
+    def _add_stream(
+        self, sock: socket.socket, address: PeerAddress, now: float
+    ) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if len(self._pool) >= self._options.max_streams:
             self._stats.streams_refused += 1
             sock.close()
             return
-        self._shed_unproven(now)
+        self._close_excess_unauthenticated(now)
         if self._tls is not None:
             sock = self._tls.wrap_socket(
                 sock, server_side=True, do_handshake_on_connect=False
@@ -173,17 +177,19 @@
         self._pool.add(stream, self)
         self._stats.streams_accepted += 1
 
-    def _shed_unproven(self, now: float) -> None:
-        """End the oldest unproven stream where there are too many."""
-        unproven = [s for s in self._pool.of(self) if not s.proven]
-        if len(unproven) >= self._options.max_unproven_streams:
+    def _close_excess_unauthenticated(self, now: float) -> None:
+        """Close the oldest unauthenticated stream if there are too many."""
+        unauthenticated = [
+            s for s in self._pool.streams_of(self) if not s.authenticated
+        ]
+        if len(unauthenticated) >= self._options.max_unauthenticated_streams:
             self._stats.streams_refused += 1
-            self._pool.end(unproven[0], now, "too many unproven streams")
+            self._pool.end(unauthenticated[0], now, "too many unauthenticated streams")
 
-    def _run(self, stream: PeerStream, frame: Frame) -> None:
+    def _handle_request(self, stream: PeerStream, frame: Frame) -> None:
         running = self._running[stream]
         if frame.correlation_id in running:
-            raise FrameError("correlation id is in use")
+            raise FrameError("correlation id is already in use")
         request = IncomingRequest(stream, frame.correlation_id)
         if self.draining:
             self._reject(request, "draining")
@@ -199,21 +205,23 @@
         self._stats.requests_received += 1
         running[frame.correlation_id] = request
         try:
-            handler(stream.identity, message, StreamResponder(request, self._mailbox))
+            handler(
+                stream.identity, message, StreamResponder(request, self._command_queue)
+            )
         except Exception:
             _LOGGER.exception("peer stream: handler failed.")
             if request.open:
-                self._close(request)
+                self._finish(request)
                 self._pool.put(stream, FrameKind.DROPPED, request.correlation_id)
 
     def _is_full(self, running: dict[int, IncomingRequest]) -> bool:
-        """Tell whether a stream has its share of requests, the answered left out."""
+        """Return whether a stream is at its limit of requests without a reply."""
         limit = self._options.max_running_per_stream
         if len(running) < limit:
             return False
         for request in tuple(running.values()):
             if not request.open:
-                self._forget(request)
+                self._remove(request)
         return len(running) >= limit
 
     def _handle_one_way(self, stream: PeerStream, frame: Frame) -> None:
@@ -223,7 +231,7 @@
             self._stats.messages_rejected += 1
             return
         try:
-            handler(stream.identity, message, NoResponder())
+            handler(stream.identity, message, NullResponder())
         except Exception:
             _LOGGER.exception("peer stream: handler failed.")
 
@@ -236,25 +244,25 @@
             detail.encode("ascii"),
         )
 
-    def _close(self, request: IncomingRequest) -> None:
+    def _finish(self, request: IncomingRequest) -> None:
         request.open = False
-        self._forget(request)
+        self._remove(request)
 
-    def _forget(self, request: IncomingRequest) -> None:
+    def _remove(self, request: IncomingRequest) -> None:
         running = self._running.get(request.stream)
         if running is not None:
             running.pop(request.correlation_id, None)
 
     def _cancel(self, request: IncomingRequest) -> None:
         if not request.open:
-            self._forget(request)
+            self._remove(request)
             return
         request.cancelled = True
-        self._close(request)
+        self._finish(request)
         for callback in request.on_cancel:
-            self._call(callback)
+            self._run_callback(callback)
 
-    def _call(self, callback: Callable[[], None]) -> None:
+    def _run_callback(self, callback: Callable[[], None]) -> None:
         try:
             callback()
         except Exception:
--- a/damaskbay/adapters/peer_stream/stream.py
+++ b/damaskbay/adapters/peer_stream/stream.py
@@ -1,4 +1,4 @@
-"""One stream: a non-blocking socket, its handshake, its queue and its liveness."""
+"""Stream to a peer: non-blocking socket, handshake, send queue and liveness."""
 
 import selectors
 import socket
@@ -18,7 +18,7 @@
 )
 from damaskbay.adapters.peer_stream.liveness import Liveness
 from damaskbay.adapters.peer_stream.options import PeerStreamOptions, PeerStreamStats
-from damaskbay.adapters.peer_stream.outbox import Outbox, Outgoing
+from damaskbay.adapters.peer_stream.outbox import Outbox, OutgoingFrame
 from damaskbay.adapters.peer_stream.proof import Handshake, Role
 from damaskbay.ports.peer import PeerAddress, PeerIdentity
 
@@ -26,24 +26,25 @@
 
 
 class StreamState(Enum):
-    """How far a stream has come."""
+    """Progress of a stream."""
 
     CONNECTING = "connecting"
-    SECURING = "securing"
-    PROVING = "proving"
-    PROVEN = "proven"
+    TLS_HANDSHAKE = "securing"
+    AUTHENTICATING = "proving"
+    AUTHENTICATED = "proven"
     ENDED = "ended"
 
 
 class PeerStream:
     """
-    One stream. Only the task that owns it may touch it, but for `send_now`.
+    Stream to a peer, used only by the task that owns it, except for `try_send`.
 
-    The lock guards the outbox and the write that follows, which never blocks.
+    The lock guards the outbox and the writes from it, which never block.
 
-    Frames given before the proof are held back, so that no byte of them leaves
-    before the peer is proven. `proven` tells that both ends have proven
-    themselves and frames flow, `leaving` that no new request may use the stream.
+    Frames queued during the handshake stay in a separate outbox, so that no byte
+    of them is sent before the peer is authenticated. `authenticated` is set while
+    both ends are authenticated and the stream is open, `draining` once no new
+    request may use it.
     """
 
     def __init__(
@@ -59,53 +60,53 @@
         self.address = address
         self.opened_at = now
         self.used_at = now
-        self.leaving = False
-        self.proven = False
-        self.was_proven = False
+        self.draining = False
+        self.authenticated = False
+        self.was_authenticated = False
         self.liveness = Liveness(options, now)
         self.state = (
             StreamState.CONNECTING
             if handshake.role is Role.INITIATOR
-            else StreamState.SECURING
+            else StreamState.TLS_HANDSHAKE
         )
         self._handshake = handshake
         self._options = options
         self._stats = stats
         self._reader = FrameReader()
         self._outbox = Outbox()
-        self._held = Outbox()
+        self._handshake_outbox = Outbox()
         self._lock = threading.Lock()
-        self._secure = isinstance(sock, ssl.SSLSocket)
+        self._uses_tls = isinstance(sock, ssl.SSLSocket)
         self._max_direct_bytes = min(MAX_DIRECT_BYTES, options.max_frame_bytes)
-        self._counted_bytes = 0
+        self._reported_sent_bytes = 0
         self._interest = selectors.EVENT_WRITE
 
     @property
     def role(self) -> Role:
-        """Return this end's role."""
+        """Return the role of this end."""
         return self._handshake.role
 
     @property
     def identity(self) -> PeerIdentity:
-        """Return who the proven peer is."""
+        """Return the identity of the peer; raise PeerStreamError before its hello."""
         if self._handshake.identity is None:
-            raise PeerStreamError("not proven")
+            raise PeerStreamError("peer is not identified")
         return self._handshake.identity
 
     @property
     def backlogged(self) -> bool:
-        """Tell whether frames wait for the socket."""
+        """Return whether frames are queued for the socket."""
         return bool(self._outbox)
 
     @property
     def queued_bytes(self) -> int:
-        """Return the bytes that wait to be written."""
-        return self._outbox.queued_bytes + self._held.queued_bytes
+        """Return the size of all queued frames, also those held until the handshake."""
+        return self._outbox.queued_bytes + self._handshake_outbox.queued_bytes
 
     @property
     def interest(self) -> int:
-        """Return the selector events that the stream waits for."""
-        if self.state in (StreamState.CONNECTING, StreamState.SECURING):
+        """Return the selector events to watch for."""
+        if self.state in (StreamState.CONNECTING, StreamState.TLS_HANDSHAKE):
             return self._interest
         if self._outbox:
             return selectors.EVENT_READ | selectors.EVENT_WRITE
@@ -113,44 +114,45 @@
 
     def put(
         self, kind: FrameKind, correlation_id: int = 0, payload: bytes = b""
-    ) -> Outgoing:
-        """Queue a frame; it leaves on the next flush after the proof."""
-        frame = Outgoing(encode(kind, correlation_id, payload))
+    ) -> OutgoingFrame:
+        """Queue a frame; the next flush after the handshake writes it."""
+        frame = OutgoingFrame(encode(kind, correlation_id, payload))
         with self._lock:
-            (self._outbox if self.proven else self._held).put(frame)
+            (self._outbox if self.authenticated else self._handshake_outbox).put(frame)
         return frame
 
-    def send_now(
-        self, frame: Outgoing, announce: Callable[[T], bool], owner: T
+    def try_send(
+        self, frame: OutgoingFrame, before_write: Callable[[T], bool], context: T
     ) -> bool:
         """
-        Write from the calling thread where nothing is queued; never blocks.
+        Write a frame from the calling thread if nothing is queued; never blocks.
 
-        Returns False where the owning task has to send the frame. Otherwise
-        `announce(owner)` was called before the first byte left, and where it
-        returned True the frame is written; what the socket did not take stays
-        queued.
+        Returns False if the owning task has to send the frame. Otherwise
+        `before_write(context)` was called before the first byte was written; if it
+        returned True, the frame was written, and any rest is queued.
         """
-        if self._secure or len(frame.data) > self._max_direct_bytes:
+        if self._uses_tls or len(frame.data) > self._max_direct_bytes:
             return False
         if not self._lock.acquire(blocking=False):
             return False
         try:
-            if not self.proven or self.leaving or self._outbox:
+            if not self.authenticated or self.draining or self._outbox:
                 return False
-            if announce(owner):
+            if before_write(context):
                 self._outbox.send_first(self.sock, frame)
             return True
         finally:
             self._lock.release()
 
-    def withdraw(self, frame: Outgoing) -> bool:
-        """Take a frame back; return False where a byte of it may have left."""
+    def withdraw(self, frame: OutgoingFrame) -> bool:
+        """Remove a queued frame; return False if a byte of it may have left."""
         with self._lock:
-            return self._outbox.withdraw(frame) or self._held.withdraw(frame)
+            return self._outbox.withdraw(frame) or self._handshake_outbox.withdraw(
+                frame
+            )
 
     def flush(self) -> None:
-        """Write what the socket takes; raise OSError."""
+        """Write frames until the socket would block; raise OSError if it fails."""
         if self._outbox:
             with self._lock:
                 self._outbox.flush(self.sock)
@@ -158,18 +160,19 @@
     def take_sent_bytes(self) -> int:
         """Return the bytes written since the last call."""
         sent = self._outbox.sent_bytes
-        count = sent - self._counted_bytes
-        self._counted_bytes = sent
+        count = sent - self._reported_sent_bytes
+        self._reported_sent_bytes = sent
         return count
 
-    def pump(self, events: int, now: float, buffer: bytearray) -> list[Frame]:
+    def process_events(self, events: int, now: float, buffer: bytearray) -> list[Frame]:
         """
-        Go on after the selector's events; return the proven peer's frames.
+        Process selector events; return the received requests, replies and messages.
 
-        Raises OSError and PeerStreamError where the stream cannot go on.
+        Continues the handshake if it is not complete. Raises OSError and
+        PeerStreamError if the stream has to be closed.
         """
         frames: list[Frame] = []
-        if not self.proven and not self._established():
+        if not self.authenticated and not self._advance_handshake():
             return frames
         if not events & selectors.EVENT_READ:
             return frames
@@ -178,25 +181,27 @@
         return frames
 
     def close(self) -> None:
-        """Close the socket; what is queued stays unsent."""
+        """Close the socket; queued frames are not sent."""
         with self._lock:
             self.state = StreamState.ENDED
-            self.proven = False
+            self.authenticated = False
             self.sock.close()
 
-    def _established(self) -> bool:
-        """Go on with connecting; tell whether frames may flow."""
+    def _advance_handshake(self) -> bool:
+        """Continue connecting; return whether frames can be exchanged."""
         if self.state is StreamState.CONNECTING:
-            self._connected()
-        return self.state is not StreamState.SECURING or self._secured()
+            self._finish_connect()
+        return (
+            self.state is not StreamState.TLS_HANDSHAKE or self._advance_tls_handshake()
+        )
 
-    def _connected(self) -> None:
+    def _finish_connect(self) -> None:
         error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
             raise OSError(error, "connect failed")
-        self.state = StreamState.SECURING
+        self.state = StreamState.TLS_HANDSHAKE
 
-    def _secured(self) -> bool:
+    def _advance_tls_handshake(self) -> bool:
         if isinstance(self.sock, ssl.SSLSocket):
             try:
                 self.sock.do_handshake()
@@ -206,8 +211,8 @@
             except ssl.SSLWantWriteError:
                 self._interest = selectors.EVENT_WRITE
                 return False
-        self.state = StreamState.PROVING
-        self._say(self._handshake.start())
+        self.state = StreamState.AUTHENTICATING
+        self._queue_bytes(self._handshake.start())
         return True
 
     def _receive(self, now: float, buffer: bytearray, frames: list[Frame]) -> bool:
@@ -216,41 +221,41 @@
         except (BlockingIOError, ssl.SSLWantReadError, ssl.SSLWantWriteError):
             return False
         if count == 0:
-            raise PeerStreamError("closed by the peer")
+            raise PeerStreamError("connection closed by the peer")
         self._stats.bytes_received += count
-        self.liveness.heard(now)
+        self.liveness.record_received(now)
         with memoryview(buffer) as view, view[:count] as data:
-            for frame in self._reader.take(data):
-                if not self.proven or frame.kind <= FrameKind.PONG:
-                    self._handle_own(frame)
+            for frame in self._reader.feed(data):
+                if not self.authenticated or frame.kind <= FrameKind.PONG:
+                    self._handle_control_frame(frame)
                 else:
                     frames.append(frame)
         return True
 
     def _has_more(self) -> bool:
-        """Tell whether TLS holds bytes that no selector will report."""
+        """Return whether TLS has buffered bytes, which the selector does not report."""
         return isinstance(self.sock, ssl.SSLSocket) and self.sock.pending() > 0
 
-    def _handle_own(self, frame: Frame) -> None:
-        """Handle a frame of the handshake, or a heartbeat."""
-        if not self.proven:
-            self._say(self._handshake.handle(frame))
-            if self._handshake.proven:
-                self._become_proven()
+    def _handle_control_frame(self, frame: Frame) -> None:
+        """Handle a frame of the handshake or a heartbeat."""
+        if not self.authenticated:
+            self._queue_bytes(self._handshake.handle(frame))
+            if self._handshake.authenticated:
+                self._mark_authenticated()
         elif frame.kind is FrameKind.PING:
             self.put(FrameKind.PONG)
         elif frame.kind is not FrameKind.PONG:
-            raise FrameError(f"{frame.kind.name} after proof")
+            raise FrameError(f"{frame.kind.name} after authentication")
 
-    def _become_proven(self) -> None:
+    def _mark_authenticated(self) -> None:
         self._reader.max_bytes = self._options.max_frame_bytes
         with self._lock:
-            self._held.move_to(self._outbox)
-            self.state = StreamState.PROVEN
-            self.proven = True
-        self.was_proven = True
+            self._handshake_outbox.move_to(self._outbox)
+            self.state = StreamState.AUTHENTICATED
+            self.authenticated = True
+        self.was_authenticated = True
 
-    def _say(self, data: bytes) -> None:
+    def _queue_bytes(self, data: bytes) -> None:
         if data:
             with self._lock:
-                self._outbox.put(Outgoing(data))
+                self._outbox.put(OutgoingFrame(data))
--- a/damaskbay/adapters/peer_stream/streams.py
+++ b/damaskbay/adapters/peer_stream/streams.py
@@ -1,4 +1,4 @@
-"""The peer link: a listener, and streams to other daemons opened on demand."""
+"""Peer link: a listener, and streams to peers that are opened on demand."""
 
 import dataclasses
 import functools
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, Self
 
-from damaskbay.adapters.peer_stream.client import RequestingSide
+from damaskbay.adapters.peer_stream.client import RequestClient
 from damaskbay.adapters.peer_stream.const import (
     FRAME_OVERHEAD_BYTES,
     MIN_SECRET_BYTES,
@@ -19,16 +19,16 @@
 from damaskbay.adapters.peer_stream.frames import FrameKind, encode
 from damaskbay.adapters.peer_stream.loop import SocketLoop
 from damaskbay.adapters.peer_stream.options import PeerStreamOptions, PeerStreamStats
-from damaskbay.adapters.peer_stream.outbox import Outgoing
+from damaskbay.adapters.peer_stream.outbox import OutgoingFrame
 from damaskbay.adapters.peer_stream.pool import StreamPool
 from damaskbay.adapters.peer_stream.request import OutgoingRequest
 from damaskbay.adapters.peer_stream.responder import (
-    AnswerCommand,
     FlushCommand,
     IncomingRequest,
     OnCancelCommand,
+    ReplyCommand,
 )
-from damaskbay.adapters.peer_stream.server import AnsweringSide
+from damaskbay.adapters.peer_stream.server import RequestServer
 from damaskbay.helpers.clock import monotonic_s
 from damaskbay.helpers.messages import pack
 from damaskbay.ports.peer import (
@@ -44,27 +44,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Send:
+class _SendCommand:
     peer: PeerAddress
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class _Cancel:
+class _CancelCommand:
     request: OutgoingRequest
 
 
 @dataclass(frozen=True, slots=True)
-class _Drain:
+class _DrainCommand:
     done: "Future[None]"
 
 
 class PeerStreams(SocketLoop):
     """
-    A `PeerLink` over streams; entered and left as a context manager.
+    `PeerLink` over TCP or TLS streams; a context manager.
 
-    The first of `secrets` proves this end, each of them is accepted from a peer.
-    `server_tls` and `client_tls` wrap the streams where given.
+    The first of `secrets` authenticates this end; a peer may use any of them.
+    Accepted streams use TLS if `server_tls` is given, opened ones if
+    `client_tls` is given.
     """
 
     def __init__(
@@ -89,72 +90,78 @@
         self.address = listen
         self._options = options
         self._stats = PeerStreamStats()
-        self._max_payload = options.max_frame_bytes - FRAME_OVERHEAD_BYTES
+        self._max_payload_bytes = options.max_frame_bytes - FRAME_OVERHEAD_BYTES
         first_id = random_source.randbits(_FIRST_ID_BITS)
-        self._ids = itertools.count(first_id + 1)
-        self._pool = StreamPool(self._selector, options, self._stats, self.catch_up)
-        self._out = RequestingSide(
+        self._correlation_ids = itertools.count(first_id + 1)
+        self._pool = StreamPool(
+            self._selector, options, self._stats, self.handle_new_commands
+        )
+        self._client = RequestClient(
             identity, secrets, self._pool, options, self._stats, client_tls
         )
-        self._in = AnsweringSide(
+        self._server = RequestServer(
             identity, secrets, self._pool, options, self._stats, server_tls, self
         )
         self._drains: list[Future[None]] = []
-        self._steps: dict[type[Any], Callable[[Any, float], None]] = {
-            OutgoingRequest: self._out.request,
-            AnswerCommand: lambda command, _: self._in.answer(command),
-            IncomingRequest: lambda request, _: self._in.answered(request),
-            OnCancelCommand: lambda command, _: self._in.add_on_cancel(command),
-            FlushCommand: lambda flush, _: self._pool.touch(flush.stream),
-            _Send: lambda send, now: self._out.send(send.peer, send.payload, now),
-            _Cancel: lambda cancel, _: self._out.cancel(cancel.request),
-            _Drain: lambda drain, _: self._drain(drain),
+        self._command_handlers: dict[type[Any], Callable[[Any, float], None]] = {
+            OutgoingRequest: self._client.request,
+            ReplyCommand: lambda command, _: self._server.send_reply(command),
+            IncomingRequest: lambda request, _: self._server.remove_replied(request),
+            OnCancelCommand: lambda command, _: self._server.add_on_cancel(command),
+            FlushCommand: lambda flush, _: self._pool.mark_dirty(flush.stream),
+            _SendCommand: lambda send, now: self._client.send(
+                send.peer, send.payload, now
+            ),
+            _CancelCommand: lambda cancel, _: self._client.cancel(cancel.request),
+            _DrainCommand: lambda drain, _: self._drain(drain),
         }
 
     def __enter__(self) -> Self:
-        """Open the listener and start; `address` then holds the port."""
-        self.address = self._in.listen(self.address, self._selector)
+        """Open the listener and start the loop; `address` then has the actual port."""
+        self.address = self._server.listen(self.address, self._selector)
         return super().__enter__()
 
     def register(self, message_type: type[Any], handler: Handler) -> None:
-        """Handle messages of one type. Call before the link starts."""
-        self._in.register(message_type, handler)
+        """Register the handler of one message type, before the link starts."""
+        self._server.register(message_type, handler)
 
     def request(
         self, peer: PeerAddress, message: Any, *, timeout_s: float
     ) -> "Future[Any]":
         """
-        Send and return a future of the answer message or a PeerFailure.
+        Send a request; return a future of the reply message or a PeerFailure.
 
         Cancelling the future sends a cancellation to the peer.
         """
         payload = pack(message)
         now = self.clock()
-        request = OutgoingRequest(next(self._ids), peer, payload, now + timeout_s)
-        request.future.on_cancel = functools.partial(self.post, _Cancel(request))
-        if len(payload) > self._max_payload:
-            request.fail(PeerProblem.NOT_SENT, "the message is too large")
-        elif self.full:
-            request.fail(PeerProblem.NOT_SENT, "the link takes no more")
-        elif not self._send_now(request, now) and not self.post(request):
-            request.fail(PeerProblem.NOT_SENT, "the link has stopped")
+        request = OutgoingRequest(
+            next(self._correlation_ids), peer, payload, now + timeout_s
+        )
+        request.future.on_cancel = functools.partial(self.post, _CancelCommand(request))
+        if len(payload) > self._max_payload_bytes:
+            request.fail(PeerProblem.NOT_SENT, "message is too large")
+        elif self.command_queue_full:
+            request.fail(PeerProblem.NOT_SENT, "command queue of the link is full")
+        elif not self._try_send(request, now) and not self.post(request):
+            request.fail(PeerProblem.NOT_SENT, "link has stopped")
         return request.future
 
     def send(self, peer: PeerAddress, message: Any) -> None:
-        """Send without an answer, best effort; dropped where the queue is full."""
+        """Send a message without a reply, best effort; dropped if the queue is full."""
         payload = pack(message)
-        fits = len(payload) <= self._max_payload and not self.full
-        if not fits or not self.post(_Send(peer, payload)):
+        fits = len(payload) <= self._max_payload_bytes and not self.command_queue_full
+        if not fits or not self.post(_SendCommand(peer, payload)):
             self._stats.sends_dropped += 1
 
     def drain(self, timeout_s: float) -> bool:
         """
-        Take no new requests, and wait until the running ones are answered.
+        Refuse new requests and wait for the replies to the running ones.
 
-        Blocks up to `timeout_s`; returns whether all were answered.
+        Blocks up to `timeout_s`; returns whether all replies were sent.
         """
         done: Future[None] = Future()
-        if not self.post(_Drain(done)):
+        if not self.post(_DrainCommand(done)):
             return False
         try:
             done.result(timeout_s)
@@ -168,50 +175,50 @@
 
     def handle(self, command: Any, now: float) -> None:
         """Handle one command on the loop's thread."""
-        self._steps[type(command)](command, now)
+        self._command_handlers[type(command)](command, now)
 
     def abandon(self, command: Any) -> None:
-        """Fail a request that came too late to be sent."""
+        """Fail a request that was still queued when the link stopped."""
         if isinstance(command, OutgoingRequest):
-            command.fail(PeerProblem.LOST, "the link has stopped")
+            command.fail(PeerProblem.LOST, "link has stopped")
 
-    def settle(self, now: float) -> None:
-        """Write what the round queued."""
-        if self._pool.unsettled:
-            self._pool.settle(now)
+    def finish_round(self, now: float) -> None:
+        """Write the frames that were queued in this round."""
+        if self._pool.has_pending_writes:
+            self._pool.flush(now)
 
     def tick(self, now: float, late_s: float) -> None:
-        """Do what is due on requests and streams."""
-        self._out.tick(now)
+        """Check request deadlines and streams; complete finished drains."""
+        self._client.tick(now)
         self._pool.tick(now, late_s)
-        if self._drains and self._in.drained:
+        if self._drains and self._server.drained:
             for done in self._drains:
                 done.set_result(None)
             self._drains.clear()
 
-    def next_due(self) -> float:
-        """Return the time of the next request's deadline."""
-        return self._out.next_due()
+    def next_deadline(self) -> float:
+        """Return the earliest deadline of a request."""
+        return self._client.next_deadline()
 
-    def stopped(self) -> None:
-        """End all streams; what is under way fails."""
-        self._in.close_listener()
+    def on_stopped(self) -> None:
+        """Close all streams; requests in flight fail."""
+        self._server.close_listener()
         now = self.clock()
-        for side in (self._out, self._in):
-            for stream in self._pool.of(side):
-                self._pool.end(stream, now, "the link has stopped")
+        for endpoint in (self._client, self._server):
+            for stream in self._pool.streams_of(endpoint):
+                self._pool.end(stream, now, "link has stopped")
 
-    def _send_now(self, request: OutgoingRequest, now: float) -> bool:
-        """Write a request from the calling thread where its stream is free."""
-        stream = self._out.ready_stream(request.peer, now)
+    def _try_send(self, request: OutgoingRequest, now: float) -> bool:
+        """Write a request from this thread; return False if it must be queued."""
+        stream = self._client.ready_stream(request.peer, now)
         if stream is None:
             return False
-        frame = Outgoing(
+        frame = OutgoingFrame(
             encode(FrameKind.REQUEST, request.correlation_id, request.payload)
         )
         request.frame = frame
         request.stream = stream
-        if not stream.send_now(frame, self._announce, request):
+        if not stream.try_send(frame, self._before_write, request):
             request.frame = None
             request.stream = None
             return False
@@ -219,11 +226,11 @@
             self.post(FlushCommand(stream))
         return True
 
-    def _announce(self, request: OutgoingRequest) -> bool:
-        """Tell the loop of a request before its first byte leaves."""
-        self.post_quietly(request, request.deadline)
+    def _before_write(self, request: OutgoingRequest) -> bool:
+        """Queue a request for tracking before its first byte is written."""
+        self.post_deferred(request, request.deadline)
         return True
 
-    def _drain(self, drain: _Drain) -> None:
-        self._in.drain()
+    def _drain(self, drain: _DrainCommand) -> None:
+        self._server.drain()
         self._drains.append(drain.done)
--- a/tests/adapters/peer_stream/common.py
+++ b/tests/adapters/peer_stream/common.py
@@ -1,4 +1,4 @@
-"""Fixtures: two links on loopback and messages between them."""
+"""Fixtures: peer links on loopback, test messages, and peers that misbehave."""
 
 import contextlib
 import dataclasses
@@ -27,24 +27,24 @@
 RAW_RECEIVE_BYTES = 65_536
 MAX_RAW_FRAME_BYTES = 32 * 1024 * 1024
 LOOPBACK = PeerAddress("127.0.0.1", 0)
-CALM = PeerStreamOptions(
+LONG_TIMEOUTS = PeerStreamOptions(
     heartbeat_s=WAIT_S,
     idle_heartbeat_s=WAIT_S,
     handshake_timeout_s=WAIT_S,
     tick_s=0.01,
-    reconnect_pause_s=0.0,
+    reconnect_delay_s=0.0,
 )
-"""Takes nobody for silent, however busy the machine is."""
+"""Timeouts so long that no peer is found unresponsive on a busy machine."""
 
-FAST = dataclasses.replace(
-    CALM, heartbeat_s=0.1, idle_heartbeat_s=0.1, handshake_timeout_s=0.5
+SHORT_TIMEOUTS = dataclasses.replace(
+    LONG_TIMEOUTS, heartbeat_s=0.1, idle_heartbeat_s=0.1, handshake_timeout_s=0.5
 )
 
 
 @message("test.peer.ask")
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """A request."""
+class Request:
+    """Request that is echoed."""
 
     number: int
     body: bytes = b""
@@ -52,16 +52,16 @@
 
 @message("test.peer.tell")
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """An answer."""
+class Reply:
+    """Reply to a request."""
 
     number: int
     body: bytes = b""
 
 
 def echo(_peer: PeerIdentity, item: Any, responder: Responder) -> None:
-    """Answer with what was asked."""
-    responder.answer(Tell(item.number, item.body))
+    """Reply with the content of the request."""
+    responder.answer(Reply(item.number, item.body))
 
 
 @contextmanager
@@ -69,20 +69,20 @@
     name: str,
     handler: Handler = echo,
     *,
-    options: PeerStreamOptions = CALM,
+    options: PeerStreamOptions = LONG_TIMEOUTS,
     secrets: tuple[bytes, ...] = (SECRET,),
     **tls: Any,
 ) -> Iterator[PeerStreams]:
-    """Run one link that handles `Ask`."""
+    """Run one link that handles `Request`."""
     identity = PeerIdentity(name, 1, "domain-1")
     streams = PeerStreams(identity, LOOPBACK, options, secrets=secrets, **tls)
-    streams.register(Ask, handler)
+    streams.register(Request, handler)
     with streams:
         yield streams
 
 
 class Forwarder:
-    """Passes bytes to a link; connections can be frozen or cut after some bytes."""
+    """TCP proxy to a link; can drop all data or close after a number of bytes."""
 
     def __init__(self, target: PeerAddress) -> None:
         self._target = target
@@ -107,7 +107,7 @@
             sock.close()
 
     def freeze(self, *directions: str) -> None:
-        """Drop what the connections so far carry from here on, without a sign."""
+        """Silently drop all further data on the connections that exist now."""
         for number in range(self.connections):
             self._frozen |= {(number, direction) for direction in directions}
 
@@ -137,7 +137,7 @@
 
 
 class RawPeer:
-    """One end of a stream in the hands of a test, which writes any bytes."""
+    """End of a stream that is controlled by a test, which may write any bytes."""
 
     def __init__(self, sock: socket.socket, role: Role) -> None:
         self.sock = sock
@@ -147,16 +147,16 @@
         self.reader = FrameReader(MAX_RAW_FRAME_BYTES)
         self.frames: list[Frame] = []
 
-    def prove(self) -> None:
-        """Go through the handshake."""
+    def authenticate(self) -> None:
+        """Complete the handshake."""
         self.sock.sendall(self.handshake.start())
-        while not self.handshake.proven:
+        while not self.handshake.authenticated:
             frame = self.read()
             assert frame is not None
             self.sock.sendall(self.handshake.handle(frame))
 
     def read(self) -> Frame | None:
-        """Return the next frame, None at the end; pings are answered on the way."""
+        """Return the next frame, None at the end; reply to pings meanwhile."""
         while True:
             while self.frames:
                 frame = self.frames.pop(0)
@@ -169,16 +169,16 @@
                 return None
             if not data:
                 return None
-            self.frames = self.reader.take(data)
+            self.frames = self.reader.feed(data)
 
-    def say(self, kind: FrameKind, correlation_id: int, item: Any) -> None:
-        """Write a frame with a message."""
+    def send(self, kind: FrameKind, correlation_id: int, item: Any) -> None:
+        """Send a message in a frame."""
         self.sock.sendall(encode(kind, correlation_id, pack(item)))
 
 
 @contextmanager
 def raw_initiator(link: PeerStreams) -> Iterator[RawPeer]:
-    """Connect to a link."""
+    """Connect to a link without a handshake."""
     address = (link.address.host, link.address.port)
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RAW_RECEIVE_BYTES)
@@ -188,7 +188,7 @@
 
 @contextmanager
 def raw_listener() -> Iterator[tuple[PeerAddress, Callable[[], RawPeer]]]:
-    """Listen for links; yield the address and what accepts the next stream."""
+    """Listen for links; yield the address and a function that accepts a stream."""
     with socket.create_server(("127.0.0.1", 0)) as listener, ExitStack() as stack:
         listener.settimeout(WAIT_S)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RAW_RECEIVE_BYTES)
@@ -201,7 +201,7 @@
 
 
 def eventually(condition: Callable[[], bool]) -> bool:
-    """Wait until a condition holds, up to a generous bound."""
+    """Wait until a condition holds; return False after WAIT_S."""
     deadline = time.monotonic() + WAIT_S
     while not condition():
         if time.monotonic() > deadline:
--- a/tests/adapters/peer_stream/test_frames.py
+++ b/tests/adapters/peer_stream/test_frames.py
@@ -1,4 +1,4 @@
-"""Tests of adapters.peer_stream: frames, proof and liveness, without sockets."""
+"""Tests of adapters.peer_stream: frames, handshake and liveness without sockets."""
 
 import unittest
 
@@ -12,9 +12,9 @@
     decode,
     encode,
 )
-from damaskbay.adapters.peer_stream.liveness import Liveness, Verdict
+from damaskbay.adapters.peer_stream.liveness import Liveness, LivenessStatus
 from damaskbay.adapters.peer_stream.options import PeerStreamOptions
-from damaskbay.adapters.peer_stream.proof import Handshake, Role, mac_of
+from damaskbay.adapters.peer_stream.proof import Handshake, Role, compute_mac
 from damaskbay.ports.peer import PeerIdentity
 from tests.adapters.peer_stream.common import NEW_SECRET, SECRET
 from tests.common import function_suite
@@ -28,7 +28,7 @@
 OPTIONS = PeerStreamOptions(heartbeat_s=1.0, idle_heartbeat_s=10.0)
 
 
-def ends(
+def handshake_pair(
     initiator: bytes = SECRET, acceptor: bytes = SECRET
 ) -> tuple[Handshake, Handshake]:
     """Return both ends of a handshake."""
@@ -39,12 +39,12 @@
 
 
 def frame_of(data: bytes) -> Frame:
-    """Return the one frame in the bytes."""
+    """Return the frame in the bytes."""
     return decode(data[4:])
 
 
-def refuses(handshake: Handshake, frame: Frame) -> bool:
-    """Tell whether the handshake refuses a frame."""
+def is_rejected(handshake: Handshake, frame: Frame) -> bool:
+    """Return whether the handshake rejects a frame."""
     try:
         handshake.handle(frame)
     except ProofError:
@@ -55,19 +55,19 @@
 @given(st.lists(FRAMES, max_size=6), st.integers(1, 40))
 @settings(derandomize=True)
 def test_frames_survive_any_split(frames: list[Frame], step: int) -> None:
-    """Frames come out as they went in, however the bytes are cut."""
+    """Frames are decoded correctly, however the bytes are split."""
     data = b"".join(encode(f.kind, f.correlation_id, f.payload) for f in frames)
     reader = FrameReader(1_000)
     seen = []
     for start in range(0, len(data), step):
-        seen += reader.take(data[start : start + step])
+        seen += reader.feed(data[start : start + step])
     assert seen == frames
 
 
 @given(st.binary(max_size=400))
 @settings(derandomize=True, max_examples=300)
 def test_garbage_is_a_frame_error_or_needs_more(data: bytes) -> None:
-    """No bytes raise anything but FrameError."""
+    """Invalid bytes raise no error other than FrameError."""
     for body in (data, encode(FrameKind.SEND, 1, data)[4:-1] + b"\xc1"):
         try:
             decode(body)
@@ -75,31 +75,31 @@
             continue
     reader = FrameReader(1_000)
     try:
-        reader.take(data)
+        reader.feed(data)
     except FrameError:
         return
 
 
 def test_frame_over_the_limit_is_refused_by_its_length() -> None:
-    """The length alone refuses; the body is never waited for."""
+    """A length over the limit is rejected before the body arrives."""
     reader = FrameReader(100)
     try:
-        reader.take((101).to_bytes(4, "big"))
+        reader.feed((101).to_bytes(4, "big"))
     except FrameError:
         return
-    raise AssertionError("a long frame was taken")
+    raise AssertionError("a frame over the limit was accepted")
 
 
 def test_both_ends_prove_themselves() -> None:
-    """Each end learns who the other is, and only after the proof."""
-    a, b = ends()
+    """Each end has the identity of the other once it is authenticated."""
+    a, b = handshake_pair()
     hello_b = b.handle(frame_of(a.start()))
     proof_a = a.handle(frame_of(hello_b))
-    assert not a.proven
+    assert not a.authenticated
     proof_b = b.handle(frame_of(proof_a))
-    assert b.proven
+    assert b.authenticated
     assert a.handle(frame_of(proof_b)) == b""
-    assert a.proven
+    assert a.authenticated
     assert (a.identity, b.identity) == (
         PeerIdentity("b", 2, "d"),
         PeerIdentity("a", 1, "d"),
@@ -107,78 +107,78 @@
 
 
 def test_own_bytes_sent_back_prove_nothing() -> None:
-    """Neither the hello nor the proof of one end serves as the other's."""
-    a, b = ends()
-    assert refuses(a, frame_of(a.start()))
+    """A hello or proof that is reflected to its sender is rejected."""
+    a, b = handshake_pair()
+    assert is_rejected(a, frame_of(a.start()))
     proof_a = frame_of(a.handle(frame_of(b.handle(frame_of(a.start())))))
-    assert refuses(a, proof_a)
+    assert is_rejected(a, proof_a)
 
 
 def test_proof_of_another_stream_is_refused() -> None:
-    """Fresh nonces make an old proof worthless, to the same peer too."""
-    a, b = ends()
+    """A proof cannot be replayed on another stream, since nonces are new for each."""
+    a, b = handshake_pair()
     old = frame_of(a.handle(frame_of(b.handle(frame_of(a.start())))))
-    again, other = ends()[0], ends()[1]
+    again, other = handshake_pair()[0], handshake_pair()[1]
     other.handle(frame_of(again.start()))
-    assert refuses(other, old)
-    assert not other.proven
+    assert is_rejected(other, old)
+    assert not other.authenticated
 
 
 def test_another_secret_is_refused() -> None:
-    """A proof by a secret that is not accepted fails."""
-    a, b = ends(initiator=NEW_SECRET)
-    assert refuses(b, frame_of(a.handle(frame_of(b.handle(frame_of(a.start()))))))
+    """A proof by a secret that is not accepted is rejected."""
+    a, b = handshake_pair(initiator=NEW_SECRET)
+    assert is_rejected(b, frame_of(a.handle(frame_of(b.handle(frame_of(a.start()))))))
 
 
 def test_the_mac_binds_role_order_and_lengths() -> None:
-    """No two different handshakes give the same proof."""
+    """Different roles or hellos give different proofs."""
     macs = {
-        mac_of(SECRET, Role.INITIATOR, b"a", b"bc"),
-        mac_of(SECRET, Role.INITIATOR, b"ab", b"c"),
-        mac_of(SECRET, Role.INITIATOR, b"bc", b"a"),
-        mac_of(SECRET, Role.ACCEPTOR, b"a", b"bc"),
+        compute_mac(SECRET, Role.INITIATOR, b"a", b"bc"),
+        compute_mac(SECRET, Role.INITIATOR, b"ab", b"c"),
+        compute_mac(SECRET, Role.INITIATOR, b"bc", b"a"),
+        compute_mac(SECRET, Role.ACCEPTOR, b"a", b"bc"),
     }
     assert len(macs) == 4
 
 
 def test_requests_do_not_put_off_the_ping() -> None:
-    """A stream that never answers is found, however many requests go out on it."""
+    """An unresponsive stream is found, however many requests are sent on it."""
     liveness = Liveness(OPTIONS, 0.0)
-    verdicts = []
+    statuses = []
     for step in range(1, 80):
         now = step / 10
-        liveness.asked(now)
-        verdicts.append(liveness.due(now, busy=True))
-        if verdicts[-1] is Verdict.SILENT:
+        liveness.record_request_sent(now)
+        statuses.append(liveness.check(now, busy=True))
+        if statuses[-1] is LivenessStatus.UNRESPONSIVE:
             break
-    assert Verdict.PING in verdicts
-    assert verdicts[-1] is Verdict.SILENT
-    assert liveness.suspect(now)
+    assert LivenessStatus.PING_DUE in statuses
+    assert statuses[-1] is LivenessStatus.UNRESPONSIVE
+    assert liveness.is_suspect(now)
 
 
 def test_an_answering_stream_is_never_silent_nor_pinged_without_pause() -> None:
-    """Pings to a stream that answers grow rare, and idle ones rarer still."""
+    """Pings to a responsive stream become less frequent, and most so if it is idle."""
     liveness = Liveness(OPTIONS, 0.0)
     pings = 0
     for step in range(1, 300):
-        verdict = liveness.due(step / 10, busy=True)
-        assert verdict is not Verdict.SILENT
-        if verdict is Verdict.PING:
+        status = liveness.check(step / 10, busy=True)
+        assert status is not LivenessStatus.UNRESPONSIVE
+        if status is LivenessStatus.PING_DUE:
             pings += 1
-            liveness.heard(step / 10)
+            liveness.record_received(step / 10)
     assert 5 < pings <= 30
     liveness = Liveness(OPTIONS, 0.0)
-    assert liveness.due(9.9, busy=False) is Verdict.ALIVE
-    assert liveness.due(10.0, busy=False) is Verdict.PING
+    assert liveness.check(9.9, busy=False) is LivenessStatus.ALIVE
+    assert liveness.check(10.0, busy=False) is LivenessStatus.PING_DUE
 
 
 def test_an_own_pause_is_not_the_peers_silence() -> None:
-    """After a pause of this process the peer gets its time anew."""
+    """After a pause of this process the ping timeout restarts."""
     liveness = Liveness(OPTIONS, 0.0)
-    assert liveness.due(1.0, busy=True) is Verdict.PING
-    liveness.forgive(60.0)
-    assert liveness.due(60.0, busy=True) is Verdict.ALIVE
-    assert liveness.due(64.1, busy=True) is Verdict.SILENT
+    assert liveness.check(1.0, busy=True) is LivenessStatus.PING_DUE
+    liveness.restart_ping_timeout(60.0)
+    assert liveness.check(60.0, busy=True) is LivenessStatus.ALIVE
+    assert liveness.check(64.1, busy=True) is LivenessStatus.UNRESPONSIVE
 
 
 def load_tests(*_: object) -> unittest.TestSuite:
