--- a/damaskbay/client/__init__.py
+++ b/damaskbay/client/__init__.py
@@ -1,4 +1,4 @@
-"""Library for callers."""
+"""Client library for callers."""
 
 from damaskbay.client.client import Client
 from damaskbay.client.options import ClientOptions, DaemonAddress
--- a/damaskbay/client/addresses.py
+++ b/damaskbay/client/addresses.py
@@ -1,4 +1,4 @@
-"""Chooses among daemons: those that work first."""
+"""Selection of a daemon; daemons without recent failures come first."""
 
 import random
 from collections.abc import Sequence
@@ -13,11 +13,11 @@
     avoid_until: float = 0.0
 
 
-class Addresses:
+class DaemonSelector:
     """
-    The daemons of one client and how they did lately.
+    Selects a daemon by its recent failures; `now` is in seconds.
 
-    A client keeps to the daemon that served it; `now` is in seconds.
+    A client stays with the same daemon until that daemon fails.
     """
 
     def __init__(
@@ -27,12 +27,12 @@
         rng: random.Random,
     ) -> None:
         if not addresses:
-            raise ValueError("a client needs the address of a daemon")
+            raise ValueError("a client needs the address of at least one daemon")
         self._options = options
         self._health_by_address = {address: _Health() for address in addresses}
         self._order = rng.sample(list(addresses), len(addresses))
 
-    def choose(
+    def select(
         self,
         now: float,
         *,
@@ -40,26 +40,28 @@
         excluded: frozenset[DaemonAddress] = frozenset(),
     ) -> DaemonAddress:
         """
-        Return the daemon to send to.
+        Return the address of the daemon to use.
 
-        Avoids the excluded ones and those that failed, as far as others are
-        left; `preferred` comes first where it works.
+        Avoids excluded and recently failed daemons while there are others.
+        `preferred` comes first unless it failed recently.
         """
-        usable = [item for item in self._order if item not in excluded]
-        usable = usable or self._order
-        if preferred in usable and self._works(preferred, now):
+        candidates = [item for item in self._order if item not in excluded]
+        candidates = candidates or self._order
+        if preferred in candidates and self._is_usable(preferred, now):
             return preferred
-        for address in usable:
-            if self._works(address, now):
+        for address in candidates:
+            if self._is_usable(address, now):
                 return address
-        return min(usable, key=lambda item: self._health_by_address[item].avoid_until)
+        return min(
+            candidates, key=lambda item: self._health_by_address[item].avoid_until
+        )
 
-    def succeeded(self, address: DaemonAddress) -> None:
-        """Take note of an answer from a daemon, a refusal included."""
+    def record_success(self, address: DaemonAddress) -> None:
+        """Record that a daemon sent a response, which may be a refusal."""
         self._health_by_address[address] = _Health()
 
-    def failed(self, address: DaemonAddress, now: float) -> None:
-        """Take note that a daemon could not be reached, or was lost."""
+    def record_failure(self, address: DaemonAddress, now: float) -> None:
+        """Record that a daemon was unreachable or its connection was lost."""
         health = self._health_by_address[address]
         avoid_s = self._options.avoid_s * 2.0**health.failures
         health.failures = min(health.failures + 1, 16)
@@ -67,5 +69,5 @@
         self._order.remove(address)
         self._order.append(address)
 
-    def _works(self, address: DaemonAddress, now: float) -> bool:
+    def _is_usable(self, address: DaemonAddress, now: float) -> bool:
         return self._health_by_address[address].avoid_until <= now
--- a/damaskbay/client/attempts.py
+++ b/damaskbay/client/attempts.py
@@ -1,4 +1,4 @@
-"""Decides whether a call is sent again, and merges what its sends brought."""
+"""Retry policy of a call, and the overall result of its attempts."""
 
 import random
 from dataclasses import dataclass
@@ -12,32 +12,32 @@
 @dataclass(slots=True)
 class Attempts:
     """
-    The sends of one call.
+    Attempts of one call.
 
-    `repeatable` tells that a send after an `unknown` outcome is harmless: the
-    request is idempotent, or bears a request id. `first_unknown` is kept, since
-    a later `not_run` says nothing of the send before it.
+    `retry_unknown` means that a retry after an `unknown` outcome is safe: the
+    request is idempotent or has a request id. `first_unknown` is kept, since a
+    `not_run` of a later attempt does not apply to the earlier one.
     """
 
     options: ClientOptions
     deadline: float
-    repeatable: bool
-    sent: int = 0
+    retry_unknown: bool
+    finished_attempts: int = 0
     first_unknown: Refusal | None = None
 
-    def ended(self, result: Answer | Refusal) -> None:
-        """Take note of the end of one send."""
-        self.sent += 1
+    def record(self, result: Answer | Refusal) -> None:
+        """Record the result of one attempt."""
+        self.finished_attempts += 1
         if isinstance(result, Refusal) and not result.not_run:
             self.first_unknown = self.first_unknown or result
 
-    def delay_s(
+    def retry_delay_s(
         self, result: Answer | Refusal, now: float, rng: random.Random
     ) -> float | None:
-        """Return the pause before the next send, None where there is none."""
-        if isinstance(result, Answer) or not self._may_repeat(result):
+        """Return the delay before the next attempt in seconds, None for no retry."""
+        if isinstance(result, Answer) or not self._may_retry(result):
             return None
-        delay_s = self._back_off_s(rng)
+        delay_s = self._back_off_delay_s(rng)
         if result.retry_after_s is not None:
             spread = 1.0 + rng.uniform(0.0, self.options.retry_after_spread)
             delay_s = max(delay_s, result.retry_after_s * spread)
@@ -46,25 +46,27 @@
         return delay_s
 
     def result(self, last: Answer | Refusal) -> Answer | Refusal:
-        """Return what the call as a whole brought."""
+        """Return the result of the call, given the result of the last attempt."""
         if isinstance(last, Answer) or not last.not_run:
             return last
         return self.first_unknown or last
 
-    def _may_repeat(self, refusal: Refusal) -> bool:
-        if self.sent >= self.options.max_attempts:
+    def _may_retry(self, refusal: Refusal) -> bool:
+        if self.finished_attempts >= self.options.max_attempts:
             return False
         if refusal.reason in FINAL_REASONS:
             return False
-        return refusal.not_run or self.repeatable
+        return refusal.not_run or self.retry_unknown
 
-    def _back_off_s(self, rng: random.Random) -> float:
-        ceiling_s = self.options.back_off_s * 2.0 ** (self.sent - 1)
+    def _back_off_delay_s(self, rng: random.Random) -> float:
+        ceiling_s = self.options.back_off_s * 2.0 ** (self.finished_attempts - 1)
         return rng.uniform(0.0, min(ceiling_s, self.options.back_off_max_s))
 
 
-def refusal_of(outcome: str, reason: str, retry_after: str, detail: str) -> Refusal:
-    """Return the refusal that a daemon's headers tell of."""
+def refusal_from_headers(
+    outcome: str, reason: str, retry_after: str, detail: str
+) -> Refusal:
+    """Return the refusal described by the headers of a daemon's response."""
     try:
         known_reason = Reason(reason)
     except ValueError:
@@ -73,11 +75,11 @@
     return Refusal(
         known_reason,
         Outcome.NOT_RUN if not_run else Outcome.UNKNOWN,
-        _seconds(retry_after),
+        _parse_retry_after_s(retry_after),
         detail,
     )
 
 
-def _seconds(text: str) -> float | None:
-    """Return the seconds of a Retry-After header; dates are not used."""
+def _parse_retry_after_s(text: str) -> float | None:
+    """Return the seconds of a Retry-After header, None if absent or a date."""
     return float(text) if text.isascii() and text.isdigit() else None
--- a/damaskbay/client/client.py
+++ b/damaskbay/client/client.py
@@ -1,4 +1,4 @@
-"""The client: calls through whichever daemon works."""
+"""Client that calls services through any available daemon."""
 
 import json
 import random
@@ -9,12 +9,12 @@
 from types import TracebackType
 from typing import Self
 
-from damaskbay.client.addresses import Addresses
-from damaskbay.client.attempts import Attempts, refusal_of
-from damaskbay.client.connections import Connections, Exchange
+from damaskbay.client.addresses import DaemonSelector
+from damaskbay.client.attempts import Attempts, refusal_from_headers
+from damaskbay.client.connections import ConnectionPool, DaemonRequest
 from damaskbay.client.const import MAX_REFUSAL_BYTES, REQUEST_IDS_TARGET
 from damaskbay.client.options import ClientOptions, DaemonAddress
-from damaskbay.client.request_ids import RequestIdStock, parse_issued
+from damaskbay.client.request_ids import RequestIdCache, parse_issued_ids
 from damaskbay.const import (
     HEADER_DEADLINE,
     HEADER_IDEMPOTENT,
@@ -27,15 +27,17 @@
 from damaskbay.core.outcome import Reason, Refusal
 from damaskbay.helpers.clock import monotonic_s
 
-_LOST = frozenset({Reason.PEER_UNREACHABLE, Reason.PEER_LOST, Reason.ANSWER_INCOMPLETE})
+_DAEMON_FAILURE_REASONS = frozenset(
+    {Reason.PEER_UNREACHABLE, Reason.PEER_LOST, Reason.ANSWER_INCOMPLETE}
+)
 
 
 class Client:
     """
-    Calls through daemons over HTTP; entered and left as a context manager.
+    Client that calls services through daemons over HTTP; a context manager.
 
-    Safe from any thread. Results are values: an Answer, or a Refusal whose
-    outcome tells whether the request can have run.
+    Thread-safe. Failures are returned, not raised: a result is an Answer, or a
+    Refusal whose outcome shows whether the request may have run.
     """
 
     def __init__(
@@ -55,9 +57,9 @@
         self._clock = clock
         self._sleep = sleep
         self._lock = threading.Lock()
-        self._addresses = Addresses(addresses, self._options, self._rng)
-        self._stock = RequestIdStock()
-        self._connections = Connections(self._options, tls, clock)
+        self._daemons = DaemonSelector(addresses, self._options, self._rng)
+        self._request_ids = RequestIdCache()
+        self._connection_pool = ConnectionPool(self._options, tls, clock)
 
     def __enter__(self) -> Self:
         return self
@@ -68,7 +70,7 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        self._connections.close()
+        self._connection_pool.close()
 
     def call(
         self,
@@ -83,118 +85,122 @@
         idempotent: bool | None = None,
     ) -> Answer | Refusal:
         """
-        Call a service and return its whole answer, or a refusal.
+        Call a service and return its complete response, or a refusal.
 
-        `target` is path and query, `host` the service's name. `idempotent` False
-        marks a request that must not run twice; True allows this client to send
-        it again after an `unknown` outcome, and so does a request id, which the
-        daemons let run only once. None leaves it to the route.
+        `target` is path and query, `host` the name of the service. `idempotent`
+        False means that the request must not run twice. True allows a retry after
+        an `unknown` outcome, and so does a request id, since daemons run a
+        request id only once. None uses the setting of the route.
         """
         deadline = self._clock() + deadline_s
-        repeatable = request_id is not None or idempotent is True
-        attempts = Attempts(self._options, deadline, repeatable)
-        marks = self._marks(host, request_id, idempotent)
-        preferred = self._issuer(request_id)
-        tried: set[DaemonAddress] = set()
+        retry_unknown = request_id is not None or idempotent is True
+        attempts = Attempts(self._options, deadline, retry_unknown)
+        request_headers = self._request_headers(host, request_id, idempotent)
+        preferred = self._issuer_of(request_id)
+        failed_daemons: set[DaemonAddress] = set()
         while True:
-            address = self._choose(preferred, frozenset(tried))
-            exchange = Exchange(method, target, (*marks, *headers), body, deadline)
-            result = self._send(address, exchange)
-            attempts.ended(result)
-            if _lost(result):
-                tried.add(address)
-            pause_s = attempts.delay_s(result, self._clock(), self._rng)
-            if pause_s is None:
+            address = self._choose_daemon(preferred, frozenset(failed_daemons))
+            request = DaemonRequest(
+                method, target, (*request_headers, *headers), body, deadline
+            )
+            result = self._send(address, request)
+            attempts.record(result)
+            if _is_daemon_failure(result):
+                failed_daemons.add(address)
+            delay_s = attempts.retry_delay_s(result, self._clock(), self._rng)
+            if delay_s is None:
                 return attempts.result(result)
-            self._sleep(pause_s)
+            self._sleep(delay_s)
 
     def new_request_id(self, *, deadline_s: float) -> str | Refusal:
-        """Return an id for one request, fetching a batch where none is left."""
+        """Return an id for one request; fetch a batch if none is left."""
         now = self._clock()
         with self._lock:
-            request_id = self._stock.take(now)
+            request_id = self._request_ids.pop(now)
         if request_id is not None:
             return request_id
         return self._fetch_request_ids(now + deadline_s)
 
     def _fetch_request_ids(self, deadline: float) -> str | Refusal:
         target = f"{REQUEST_IDS_TARGET}?count={self._options.request_id_batch}"
-        attempts = Attempts(self._options, deadline, repeatable=True)
-        tried: set[DaemonAddress] = set()
+        attempts = Attempts(self._options, deadline, retry_unknown=True)
+        failed_daemons: set[DaemonAddress] = set()
         while True:
             now = self._clock()
-            address = self._choose(None, frozenset(tried))
-            marks = self._marks(address.host, None, None)
-            exchange = Exchange("POST", target, marks, b"", deadline)
-            result = self._send(address, exchange)
-            attempts.ended(result)
+            address = self._choose_daemon(None, frozenset(failed_daemons))
+            request_headers = self._request_headers(address.host, None, None)
+            request = DaemonRequest("POST", target, request_headers, b"", deadline)
+            result = self._send(address, request)
+            attempts.record(result)
             if isinstance(result, Answer):
-                return self._stocked(result, address, now)
-            if _lost(result):
-                tried.add(address)
-            pause_s = attempts.delay_s(result, self._clock(), self._rng)
-            if pause_s is None:
+                return self._store_issued_ids(result, address, now)
+            if _is_daemon_failure(result):
+                failed_daemons.add(address)
+            delay_s = attempts.retry_delay_s(result, self._clock(), self._rng)
+            if delay_s is None:
                 return result
-            self._sleep(pause_s)
+            self._sleep(delay_s)
 
-    def _stocked(
-        self, answer: Answer, issuer: DaemonAddress, asked_at: float
+    def _store_issued_ids(
+        self, response: Answer, issuer: DaemonAddress, requested_at: float
     ) -> str | Refusal:
-        issued = parse_issued(answer)
+        issued = parse_issued_ids(response)
         if isinstance(issued, Refusal):
             return issued
         first, *rest = issued.request_ids
         with self._lock:
-            self._stock.add((first, *rest), issued.valid_s, issuer, asked_at)
-            return self._stock.take(asked_at) or first
+            self._request_ids.add((first, *rest), issued.valid_s, issuer, requested_at)
+            return self._request_ids.pop(requested_at) or first
 
-    def _marks(
+    def _request_headers(
         self, host: str, request_id: str | None, idempotent: bool | None
     ) -> Headers:
-        marks = [("Host", host)]
+        request_headers = [("Host", host)]
         if self._key is not None:
-            marks.append((HEADER_KEY, self._key))
+            request_headers.append((HEADER_KEY, self._key))
         if request_id is not None:
-            marks.append((HEADER_REQUEST_ID, request_id))
+            request_headers.append((HEADER_REQUEST_ID, request_id))
         if idempotent is not None:
-            marks.append((HEADER_IDEMPOTENT, "true" if idempotent else "false"))
-        return tuple(marks)
-
-    def _send(self, address: DaemonAddress, exchange: Exchange) -> Answer | Refusal:
-        remaining_ms = max(1, int((exchange.deadline - self._clock()) * 1_000))
-        headers = (*exchange.headers, (HEADER_DEADLINE, str(remaining_ms)))
-        marked = Exchange(
-            exchange.method, exchange.target, headers, exchange.body, exchange.deadline
+            request_headers.append(
+                (HEADER_IDEMPOTENT, "true" if idempotent else "false")
+            )
+        return tuple(request_headers)
+
+    def _send(self, address: DaemonAddress, request: DaemonRequest) -> Answer | Refusal:
+        remaining_ms = max(1, int((request.deadline - self._clock()) * 1_000))
+        headers = (*request.headers, (HEADER_DEADLINE, str(remaining_ms)))
+        request_with_deadline = DaemonRequest(
+            request.method, request.target, headers, request.body, request.deadline
         )
-        result = self._connections.exchange(address, marked)
+        result = self._connection_pool.send(address, request_with_deadline)
         with self._lock:
-            if _lost(result):
-                self._addresses.failed(address, self._clock())
+            if _is_daemon_failure(result):
+                self._daemons.record_failure(address, self._clock())
             else:
-                self._addresses.succeeded(address)
-        return _unwrap(result)
+                self._daemons.record_success(address)
+        return _extract_refusal(result)
 
-    def _choose(
+    def _choose_daemon(
         self, preferred: DaemonAddress | None, excluded: frozenset[DaemonAddress]
     ) -> DaemonAddress:
         with self._lock:
-            return self._addresses.choose(
+            return self._daemons.select(
                 self._clock(), preferred=preferred, excluded=excluded
             )
 
-    def _issuer(self, request_id: str | None) -> DaemonAddress | None:
+    def _issuer_of(self, request_id: str | None) -> DaemonAddress | None:
         if request_id is None:
             return None
         with self._lock:
-            return self._stock.issuer(request_id)
+            return self._request_ids.issuer_of(request_id)
 
 
-def _lost(result: Answer | Refusal) -> bool:
-    return isinstance(result, Refusal) and result.reason in _LOST
+def _is_daemon_failure(result: Answer | Refusal) -> bool:
+    return isinstance(result, Refusal) and result.reason in _DAEMON_FAILURE_REASONS
 
 
-def _unwrap(result: Answer | Refusal) -> Answer | Refusal:
-    """Return the refusal that an answer carries, or the answer."""
+def _extract_refusal(result: Answer | Refusal) -> Answer | Refusal:
+    """Return the refusal that is encoded in a response, or else the response."""
     if isinstance(result, Refusal):
         return result
     headers = {name.lower(): value for name, value in result.headers}
@@ -203,11 +209,13 @@
         return result
     reason = headers.get(HEADER_REASON.lower(), "")
     retry_after = headers.get("retry-after", "")
-    return refusal_of(outcome, reason, retry_after, _detail(result.body))
+    return refusal_from_headers(
+        outcome, reason, retry_after, _refusal_detail(result.body)
+    )
 
 
-def _detail(body: bytes) -> str:
-    """Return the detail in a refusal's body, nothing where it has none."""
+def _refusal_detail(body: bytes) -> str:
+    """Return the detail in the body of a refusal, empty if there is none."""
     try:
         parsed = json.loads(body[:MAX_REFUSAL_BYTES])
     except ValueError:
--- a/damaskbay/client/connections.py
+++ b/damaskbay/client/connections.py
@@ -1,4 +1,4 @@
-"""Exchanges with daemons over kept-alive connections."""
+"""Requests to daemons over kept-alive connections."""
 
 import http.client
 import ssl
@@ -20,8 +20,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exchange:
-    """One request to one daemon; `deadline` in the clock's seconds."""
+class DaemonRequest:
+    """HTTP request to a daemon; `deadline` is in seconds of the client's clock."""
 
     method: str
     target: str
@@ -30,8 +30,8 @@
     deadline: float
 
 
-class Connections:
-    """Idle connections by daemon. Safe from any thread; the lock spans no I/O."""
+class ConnectionPool:
+    """Idle connections by daemon; thread-safe. The lock is not held during I/O."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self._idle_by_address: dict[DaemonAddress, deque[Connection]] = {}
 
     def close(self) -> None:
-        """Close the idle connections; those in use are closed at their end."""
+        """Close the idle connections; those in use are closed after their request."""
         with self._lock:
             self._closed = True
             idle = [c for queue in self._idle_by_address.values() for c in queue]
@@ -55,47 +55,49 @@
         for connection in idle:
             connection.close()
 
-    def exchange(self, address: DaemonAddress, exchange: Exchange) -> Answer | Refusal:
+    def send(self, address: DaemonAddress, request: DaemonRequest) -> Answer | Refusal:
         """
-        Send once and return the whole answer.
+        Send a request once and return the complete response.
 
-        A refusal is `not_run` only where no byte of the request was written.
+        A refusal is `not_run` only if no byte of the request was written.
         """
-        connection = self._open(address, exchange.deadline)
+        connection = self._acquire(address, request.deadline)
         if isinstance(connection, Refusal):
             return connection
         try:
-            return self._exchange(connection, exchange)
+            return self._send_on(connection, request)
         finally:
-            self._give_back(address, connection)
+            self._release(address, connection)
 
-    def _exchange(self, connection: Connection, exchange: Exchange) -> Answer | Refusal:
+    def _send_on(
+        self, connection: Connection, request: DaemonRequest
+    ) -> Answer | Refusal:
         connection.wrote = False
         connection.reusable = False
         try:
-            connection.sock.settimeout(max(0.001, exchange.deadline - self._clock()))
+            connection.sock.settimeout(max(0.001, request.deadline - self._clock()))
             write_request(
                 connection,
-                exchange.method,
-                exchange.target,
-                exchange.headers,
-                exchange.body,
+                request.method,
+                request.target,
+                request.headers,
+                request.body,
             )
             limit = self._options.max_body_bytes
-            return read_answer(connection, exchange.deadline, self._clock, limit)
+            return read_answer(connection, request.deadline, self._clock, limit)
         except TimeoutError:
-            return _refuse(connection, Reason.DEADLINE_PASSED, "no answer in time")
+            return _refusal(connection, Reason.DEADLINE_PASSED, "no response in time")
         except (AnswerCutShortError, http.client.IncompleteRead):
-            return unknown(Reason.ANSWER_INCOMPLETE, detail="the answer was cut short")
+            return unknown(Reason.ANSWER_INCOMPLETE, detail="response is incomplete")
         except AnswerTooLargeError:
-            return unknown(Reason.ANSWER_INCOMPLETE, detail="the answer is too large")
+            return unknown(Reason.ANSWER_INCOMPLETE, detail="response is too large")
         except (OSError, http.client.HTTPException) as error:
-            return _refuse(connection, Reason.PEER_LOST, type(error).__name__)
+            return _refusal(connection, Reason.PEER_LOST, type(error).__name__)
         except ValueError as error:
-            return _refuse(connection, Reason.BAD_REQUEST, str(error))
+            return _refusal(connection, Reason.BAD_REQUEST, str(error))
 
-    def _open(self, address: DaemonAddress, deadline: float) -> Connection | Refusal:
-        while (connection := self._take_idle(address)) is not None:
+    def _acquire(self, address: DaemonAddress, deadline: float) -> Connection | Refusal:
+        while (connection := self._pop_idle(address)) is not None:
             if connection.is_quiet():
                 return connection
             connection.close()
@@ -112,29 +114,29 @@
             return not_run(Reason.PEER_UNREACHABLE, detail=type(error).__name__)
         return connection
 
-    def _take_idle(self, address: DaemonAddress) -> Connection | None:
-        oldest = self._clock() - self._options.idle_connection_s
+    def _pop_idle(self, address: DaemonAddress) -> Connection | None:
+        idle_since_min = self._clock() - self._options.idle_connection_s
         with self._lock:
             idle = self._idle_by_address.get(address)
             connection = idle.pop() if idle else None
-        if connection is not None and connection.idle_since < oldest:
+        if connection is not None and connection.idle_since < idle_since_min:
             connection.close()
-            return self._take_idle(address)
+            return self._pop_idle(address)
         return connection
 
-    def _give_back(self, address: DaemonAddress, connection: Connection) -> None:
+    def _release(self, address: DaemonAddress, connection: Connection) -> None:
         connection.idle_since = self._clock()
         with self._lock:
             idle = self._idle_by_address.setdefault(address, deque())
-            room = len(idle) < self._options.max_idle_connections
-            kept = connection.reusable and room and not self._closed
+            has_room = len(idle) < self._options.max_idle_connections
+            kept = connection.reusable and has_room and not self._closed
             if kept:
                 idle.append(connection)
         if not kept:
             connection.close()
 
 
-def _refuse(connection: Connection, reason: Reason, detail: str) -> Refusal:
+def _refusal(connection: Connection, reason: Reason, detail: str) -> Refusal:
     if connection.wrote:
         return unknown(reason, detail=detail)
     return not_run(reason, detail=detail)
--- a/damaskbay/client/const.py
+++ b/damaskbay/client/const.py
@@ -1,4 +1,4 @@
-"""Names and sizes of the caller library."""
+"""Constants of the client library."""
 
 from typing import Final
 
@@ -26,4 +26,4 @@
         Reason.REQUEST_OWNER_GONE,
     }
 )
-"""Refusals that another send cannot change."""
+"""Reasons for which a retry gives the same refusal."""
--- a/damaskbay/client/options.py
+++ b/damaskbay/client/options.py
@@ -1,4 +1,4 @@
-"""Settings of the caller library."""
+"""Options of the client library."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonAddress:
-    """Where a daemon listens for callers: IP number and TCP port."""
+    """IP address and TCP port at which a daemon listens for callers."""
 
     host: str
     port: int
@@ -16,10 +16,11 @@
 @dataclass(frozen=True, slots=True)
 class ClientOptions:
     """
-    Limits and times; times in seconds.
+    Limits and times of a client; times in seconds.
 
-    `max_attempts` counts all sends of one call. A daemon that failed is avoided
-    for `avoid_s`, doubled with each failure in a row up to `avoid_max_s`.
+    `max_attempts` includes the first attempt of a call. A failed daemon is
+    avoided for `avoid_s`, doubled with each consecutive failure up to
+    `avoid_max_s`.
     """
 
     max_attempts: int = 4
--- a/damaskbay/client/request_ids.py
+++ b/damaskbay/client/request_ids.py
@@ -1,4 +1,4 @@
-"""The stock of issued request ids, and who issued them."""
+"""Cache of issued request ids and of the daemons that issued them."""
 
 from collections import OrderedDict, deque
 from collections.abc import Sequence
@@ -14,7 +14,7 @@
 
 
 class IssuedIds(BaseModel):
-    """A daemon's answer to a request for ids; `valid_s` in seconds."""
+    """Body of a daemon's response to a request for ids; `valid_s` is in seconds."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -23,22 +23,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Stocked:
+class _CachedId:
     request_id: str
     use_until: float
 
 
-class RequestIdStock:
-    """Ids that are not used yet. An id is handed out for half of its validity."""
+class RequestIdCache:
+    """Cache of unused request ids; ids expire after half of their validity."""
 
     def __init__(self) -> None:
-        self._stock: deque[_Stocked] = deque()
+        self._unused: deque[_CachedId] = deque()
         self._issuer_by_id: OrderedDict[str, DaemonAddress] = OrderedDict()
 
-    def take(self, now: float) -> str | None:
-        """Return an unused id, None where there is none."""
-        while self._stock:
-            item = self._stock.popleft()
+    def pop(self, now: float) -> str | None:
+        """Remove and return an unused id, None if there is none."""
+        while self._unused:
+            item = self._unused.popleft()
             if item.use_until > now:
                 return item.request_id
             self._issuer_by_id.pop(item.request_id, None)
@@ -47,21 +47,23 @@
     def add(
         self, ids: Sequence[str], valid_s: float, issuer: DaemonAddress, now: float
     ) -> None:
-        """Take in ids that were asked for at `now`."""
+        """Add ids that were requested at `now`, with their validity in seconds."""
         for request_id in ids:
-            self._stock.append(_Stocked(request_id, now + valid_s / 2))
+            self._unused.append(_CachedId(request_id, now + valid_s / 2))
             self._issuer_by_id[request_id] = issuer
         while len(self._issuer_by_id) > MAX_REMEMBERED_ISSUERS:
             self._issuer_by_id.popitem(last=False)
 
-    def issuer(self, request_id: str) -> DaemonAddress | None:
-        """Return the daemon that issued an id, None where that is not known."""
+    def issuer_of(self, request_id: str) -> DaemonAddress | None:
+        """Return the daemon that issued an id, None if unknown."""
         return self._issuer_by_id.get(request_id)
 
 
-def parse_issued(answer: Answer) -> IssuedIds | Refusal:
-    """Return the ids in a daemon's answer."""
+def parse_issued_ids(response: Answer) -> IssuedIds | Refusal:
+    """Return the ids in a daemon's response, or a refusal if it is invalid."""
     try:
-        return IssuedIds.model_validate_json(answer.body)
+        return IssuedIds.model_validate_json(response.body)
     except ValidationError:
-        return unknown(Reason.INTERNAL_ERROR, detail="not an answer with request ids")
+        return unknown(
+            Reason.INTERNAL_ERROR, detail="response has no valid request ids"
+        )
--- a/tests/client/common.py
+++ b/tests/client/common.py
@@ -1,4 +1,4 @@
-"""Fixtures: a daemon that answers from a script, and clients of it."""
+"""Fixtures: a fake daemon with scripted responses, and clients for it."""
 
 import contextlib
 import random
@@ -17,50 +17,52 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
-    """Bytes to send for a request, and whether the connection stays open."""
+class ScriptedResponse:
+    """Bytes to send in response to a request; `keep` leaves the connection open."""
 
     data: bytes
     keep: bool = True
 
 
-Script = Callable[[int, str], Reply]
-"""Called with the number of the request and its head."""
+Script = Callable[[int, str], ScriptedResponse]
+"""Function that returns a response; called with the request's number and head."""
 
 
-def whole(body: bytes = b"ok", status: int = 200, **headers: str) -> Reply:
-    """Return a reply that is a whole HTTP answer."""
+def complete_response(
+    body: bytes = b"ok", status: int = 200, **headers: str
+) -> ScriptedResponse:
+    """Return a complete HTTP response."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
-    return Reply("\r\n".join([*lines, "", ""]).encode() + body)
+    return ScriptedResponse("\r\n".join([*lines, "", ""]).encode() + body)
 
 
-def refused(
+def refusal_response(
     outcome: str, reason: str, status: int = 503, retry_after: str = ""
-) -> Reply:
-    """Return a reply that is a daemon's refusal."""
+) -> ScriptedResponse:
+    """Return a daemon's refusal as an HTTP response."""
     headers = {"Damaskbay_Outcome": outcome, "Damaskbay_Reason": reason}
     if retry_after:
         headers["Retry_After"] = retry_after
-    return whole(b'{"detail":"for people"}', status, **headers)
+    return complete_response(b'{"detail":"for people"}', status, **headers)
 
 
 @dataclass(slots=True)
 class ScriptedDaemon:
-    """A listener whose answers come from a script."""
+    """Fake daemon whose responses come from a script."""
 
     script: Script
     address: DaemonAddress
     heads: list[str] = field(default_factory=list)
     connections: int = 0
 
-    def serve(self, listener: socket.socket, pool: ThreadPoolExecutor) -> None:
-        """Accept until the listener is shut down."""
+    def serve(self, listener: socket.socket, executor: ThreadPoolExecutor) -> None:
+        """Accept connections until the listener is shut down."""
         with contextlib.suppress(OSError):
             while True:
                 sock, _ = listener.accept()
                 self.connections += 1
-                pool.submit(self._serve_one, sock)
+                executor.submit(self._serve_one, sock)
 
     def _serve_one(self, sock: socket.socket) -> None:
         with contextlib.suppress(OSError), sock, sock.makefile("rb") as reader:
@@ -69,9 +71,9 @@
                 if not head:
                     return
                 self.heads.append(head)
-                reply = self.script(len(self.heads), head)
-                sock.sendall(reply.data)
-                if not reply.keep:
+                response = self.script(len(self.heads), head)
+                sock.sendall(response.data)
+                if not response.keep:
                     return
 
     def _read_request(self, reader: Any) -> str:
@@ -86,10 +88,13 @@
 @contextmanager
 def daemon(script: Script) -> Iterator[ScriptedDaemon]:
     """Run a scripted daemon on loopback."""
-    with socket.create_server((HOST, 0)) as listener, ThreadPoolExecutor(16) as pool:
+    with (
+        socket.create_server((HOST, 0)) as listener,
+        ThreadPoolExecutor(16) as executor,
+    ):
         port = listener.getsockname()[1]
         scripted = ScriptedDaemon(script, DaemonAddress(HOST, port))
-        pool.submit(scripted.serve, listener, pool)
+        executor.submit(scripted.serve, listener, executor)
         try:
             yield scripted
         finally:
@@ -100,12 +105,12 @@
 def client(
     *addresses: DaemonAddress, sleeps: list[float] | None = None, **options: Any
 ) -> Iterator[Client]:
-    """Run a client that sleeps in no time."""
+    """Run a client that records its delays in `sleeps` instead of sleeping."""
     with Client(
         addresses,
         KEY,
         ClientOptions(**options),
         rng=random.Random(3),
         sleep=(sleeps if sleeps is not None else []).append,
-    ) as made:
-        yield made
+    ) as started:
+        yield started
--- a/tests/client/test_callers_page.py
+++ b/tests/client/test_callers_page.py
@@ -1,4 +1,4 @@
-"""Tests that docs/callers.md tells what the code does."""
+"""Tests that docs/callers.md matches the code."""
 
 import unittest
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 
 def test_table_has_every_reason_with_its_status() -> None:
-    """No reason is missing, and no status is out of date."""
+    """The table lists every reason with its current status."""
     rows = [
         [cell.strip(" `") for cell in line.split("|")[1:3]]
         for line in PAGE.read_text().splitlines()
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of client: truthful outcomes whatever happens on the connection."""
+"""Tests of client: the outcome is correct whatever happens on the connection."""
 
 import socket
 import threading
@@ -12,32 +12,32 @@
 from tests.client.common import (
     DEADLINE_S,
     HOST,
-    Reply,
+    ScriptedResponse,
     client,
+    complete_response,
     daemon,
-    refused,
-    whole,
+    refusal_response,
 )
 from tests.common import function_suite
 
-TWO_IDS = whole(b'{"request_ids":["id-1","id-2"],"valid_s":600}')
+TWO_IDS = complete_response(b'{"request_ids":["id-1","id-2"],"valid_s":600}')
 
 
-def nobody() -> DaemonAddress:
-    """Return an address where nobody listens."""
+def unused_address() -> DaemonAddress:
+    """Return an address without a listener."""
     with socket.create_server((HOST, 0)) as listener:
         return DaemonAddress(HOST, listener.getsockname()[1])
 
 
 def refusal(result: object) -> Refusal:
-    """Return the result, which must be a refusal."""
+    """Return the result after asserting that it is a refusal."""
     assert isinstance(result, Refusal), result
     return result
 
 
 def test_connection_is_reused_and_marks_are_sent() -> None:
-    """Calls share one connection; key, deadline and marks are headers."""
-    with daemon(lambda *_: whole()) as one, client(one.address) as caller:
+    """Calls share one connection; key, deadline and options are sent as headers."""
+    with daemon(lambda *_: complete_response()) as one, client(one.address) as caller:
         for _ in range(3):
             answer = caller.call(
                 "POST",
@@ -61,25 +61,25 @@
 
 
 def test_not_run_is_sent_again_after_retry_after() -> None:
-    """A refusal as not run is repeated, no sooner than the daemon asks."""
+    """A `not_run` refusal is retried, no sooner than its Retry-After."""
 
-    def script(number: int, _head: str) -> Reply:
+    def script(number: int, _head: str) -> ScriptedResponse:
         if number < 3:
-            return refused("not_run", "overloaded", retry_after="2")
-        return whole()
+            return refusal_response("not_run", "overloaded", retry_after="2")
+        return complete_response()
 
     sleeps: list[float] = []
     with daemon(script) as one, client(one.address, sleeps=sleeps) as caller:
         result = caller.call("POST", "/", host="h", deadline_s=DEADLINE_S)
     assert isinstance(result, Answer)
     assert len(sleeps) == 2
-    assert all(2.0 <= pause_s <= 2.6 for pause_s in sleeps)
+    assert all(2.0 <= delay_s <= 2.6 for delay_s in sleeps)
 
 
 def test_retry_after_beyond_the_deadline_ends_the_call() -> None:
-    """The refusal comes back at once, with the time to wait."""
-    reply = refused("not_run", "rate_exceeded", 429, retry_after="60")
-    with daemon(lambda *_: reply) as one, client(one.address) as caller:
+    """The refusal is returned at once, with its Retry-After."""
+    response = refusal_response("not_run", "rate_exceeded", 429, retry_after="60")
+    with daemon(lambda *_: response) as one, client(one.address) as caller:
         result = refusal(caller.call("GET", "/", host="h", deadline_s=DEADLINE_S))
     assert len(one.heads) == 1
     assert result.reason is Reason.RATE_EXCEEDED
@@ -89,17 +89,17 @@
 
 
 def test_final_refusals_are_not_sent_again() -> None:
-    """A withdrawn key stays withdrawn."""
-    reply = refused("not_run", "key_withdrawn", 401)
-    with daemon(lambda *_: reply) as one, client(one.address) as caller:
+    """Refusals that a retry cannot change, such as a withdrawn key, are final."""
+    response = refusal_response("not_run", "key_withdrawn", 401)
+    with daemon(lambda *_: response) as one, client(one.address) as caller:
         caller.call("GET", "/", host="h", deadline_s=DEADLINE_S, idempotent=True)
     assert len(one.heads) == 1
 
 
 def test_unreachable_daemons_are_not_run_and_avoided() -> None:
-    """Another address takes over; with none left the call has not run."""
-    gone = nobody()
-    with daemon(lambda *_: whole()) as one:
+    """Another daemon is used; if there is none, the outcome is `not_run`."""
+    gone = unused_address()
+    with daemon(lambda *_: complete_response()) as one:
         with client(gone, one.address) as caller:
             for _ in range(5):
                 result = caller.call("POST", "/", host="h", deadline_s=DEADLINE_S)
@@ -113,11 +113,11 @@
 @given(cut=st.integers(0, 200), idempotent=st.booleans())
 @settings(derandomize=True, deadline=None, max_examples=60)
 def test_answer_cut_at_any_byte(cut: int, idempotent: bool) -> None:
-    """A cut answer never passes for whole; one send where it must not run twice."""
-    data = whole(b"x" * 100, X="y").data
+    """A cut response is never taken as complete; only idempotent calls are retried."""
+    data = complete_response(b"x" * 100, X="y").data
 
-    def script(_number: int, _head: str) -> Reply:
-        return Reply(data[:cut], keep=False)
+    def script(_number: int, _head: str) -> ScriptedResponse:
+        return ScriptedResponse(data[:cut], keep=False)
 
     with daemon(script) as one, client(one.address) as caller:
         result = caller.call(
@@ -133,7 +133,7 @@
 @given(cut=st.integers(0, 400))
 @settings(derandomize=True, deadline=None, max_examples=150)
 def test_refusal_or_chunks_cut_at_any_byte(cut: int) -> None:
-    """A refusal whose headers are cut is no answer, nor are cut chunks."""
+    """Neither a refusal with cut headers nor a cut chunked body is a response."""
     chunks = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"
     chunked = chunks + b"0\r\n\r\n"
     refusal_bytes = (
@@ -143,8 +143,8 @@
     for data in (chunked, refusal_bytes):
         part = data[: cut % len(data)]
 
-        def script(_number: int, _head: str, part: bytes = part) -> Reply:
-            return Reply(part, keep=False)
+        def script(_number: int, _head: str, part: bytes = part) -> ScriptedResponse:
+            return ScriptedResponse(part, keep=False)
 
         with daemon(script) as one, client(one.address) as caller:
             result = caller.call("POST", "/", host="h", deadline_s=DEADLINE_S)
@@ -152,10 +152,10 @@
 
 
 def test_kept_connection_that_dies_after_the_write() -> None:
-    """It is unknown, and sent again only where a request id guards it."""
+    """The outcome is unknown; the call is retried only if it has a request id."""
 
-    def script(number: int, _head: str) -> Reply:
-        return Reply(b"", keep=False) if number == 2 else whole()
+    def script(number: int, _head: str) -> ScriptedResponse:
+        return ScriptedResponse(b"", keep=False) if number == 2 else complete_response()
 
     for request_id in (None, "id-1"):
         with daemon(script) as one, client(one.address) as caller:
@@ -172,12 +172,12 @@
 
 
 def test_not_run_after_unknown_stays_unknown() -> None:
-    """The later refusal says nothing of the send before it."""
+    """A later `not_run` does not apply to the earlier attempt."""
 
-    def script(number: int, _head: str) -> Reply:
+    def script(number: int, _head: str) -> ScriptedResponse:
         if number == 1:
-            return Reply(b"", keep=False)
-        return refused("not_run", "rate_exceeded", 429)
+            return ScriptedResponse(b"", keep=False)
+        return refusal_response("not_run", "rate_exceeded", 429)
 
     with daemon(script) as one, client(one.address) as caller:
         result = caller.call(
@@ -187,20 +187,20 @@
 
 
 def test_answer_without_length_is_incomplete() -> None:
-    """An answer that ends with its connection cannot be known to be whole."""
-    reply = Reply(b"HTTP/1.1 200 OK\r\n\r\nbody", keep=False)
-    with daemon(lambda *_: reply) as one, client(one.address) as caller:
+    """A response without a length cannot be known to be complete."""
+    response = ScriptedResponse(b"HTTP/1.1 200 OK\r\n\r\nbody", keep=False)
+    with daemon(lambda *_: response) as one, client(one.address) as caller:
         result = caller.call("POST", "/", host="h", deadline_s=DEADLINE_S)
     assert refusal(result).reason is Reason.ANSWER_INCOMPLETE
 
 
 def test_no_answer_in_time() -> None:
-    """A silent daemon costs no more than the deadline."""
+    """A call to an unresponsive daemon ends at its deadline."""
     ended = threading.Event()
 
-    def script(_number: int, _head: str) -> Reply:
+    def script(_number: int, _head: str) -> ScriptedResponse:
         ended.wait(DEADLINE_S)
-        return Reply(b"", keep=False)
+        return ScriptedResponse(b"", keep=False)
 
     with daemon(script) as one, client(one.address) as caller:
         result = caller.call("POST", "/", host="h", deadline_s=0.1)
@@ -210,12 +210,14 @@
 
 
 def test_request_ids_come_in_batches_and_go_to_their_issuer() -> None:
-    """One fetch serves several requests; each goes to the daemon that issued it."""
+    """One fetch returns several ids; each is used at the daemon that issued it."""
 
-    def script(number: int, head: str) -> Reply:
+    def script(number: int, head: str) -> ScriptedResponse:
         if number == 2:
-            return Reply(b"", keep=False)
-        return TWO_IDS if "/.damaskbay/request-ids?count=" in head else whole()
+            return ScriptedResponse(b"", keep=False)
+        return (
+            TWO_IDS if "/.damaskbay/request-ids?count=" in head else complete_response()
+        )
 
     with daemon(script) as one, daemon(script) as two:
         addresses = (one.address, two.address)
