--- a/damaskbay/adapters/peer_stream/loop.py
+++ b/damaskbay/adapters/peer_stream/loop.py
@@ -171,8 +171,8 @@
         with contextlib.suppress(OSError):
             self._wake_write.send(b"\0")
 
-    def _run_guarded(self, step: Callable[..., None], *arguments: Any) -> None:
+    def _run_guarded(self, function: Callable[..., None], *arguments: Any) -> None:
         try:
-            step(*arguments)
+            function(*arguments)
         except Exception:
-            _LOGGER.exception("peer stream: %s: step failed", self.name)
+            _LOGGER.exception("peer stream: %s: error in the event loop", self.name)
--- a/damaskbay/adapters/peer_stream/pool.py
+++ b/damaskbay/adapters/peer_stream/pool.py
@@ -40,9 +40,9 @@
 
 class StreamPool:
     """
-    Streams with the endpoint that each belongs to.
+    All streams of a loop, each with its endpoint.
 
-    `handle_new_commands` handles commands that other threads have queued.
+    `handle_new_commands` is called before received frames are handled.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._options = options
         self._stats = stats
         self._endpoints: dict[PeerStream, StreamEndpoint] = {}
-        self._dirty: set[PeerStream] = set()
+        self._to_write: set[PeerStream] = set()
         self._interest: dict[PeerStream, int] = {}
         self._buffer = bytearray(RECEIVE_BYTES)
 
@@ -85,22 +85,22 @@
         payload: bytes = b"",
     ) -> OutgoingFrame:
         """Queue a frame; it is written at the end of the round."""
-        self._dirty.add(stream)
+        self._to_write.add(stream)
         return stream.put(kind, correlation_id, payload)
 
-    def mark_dirty(self, stream: PeerStream) -> None:
+    def mark_for_write(self, stream: PeerStream) -> None:
         """Mark a stream for a write at the end of the round."""
-        self._dirty.add(stream)
+        self._to_write.add(stream)
 
     @property
     def has_pending_writes(self) -> bool:
         """Return whether a stream is marked for a write."""
-        return bool(self._dirty)
+        return bool(self._to_write)
 
     def flush(self, now: float) -> None:
         """Write to the marked streams and update their selector events."""
-        while self._dirty:
-            stream = self._dirty.pop()
+        while self._to_write:
+            stream = self._to_write.pop()
             if stream not in self._endpoints:
                 continue
             try:
@@ -118,7 +118,7 @@
                 self._update_interest(stream)
 
     def tick(self, now: float, late_s: float) -> None:
-        """Ping idle streams; close unresponsive or not yet authenticated ones."""
+        """Ping idle streams; close unresponsive ones and handshakes that timed out."""
         for stream, endpoint in tuple(self._endpoints.items()):
             self._stats.bytes_sent += stream.take_sent_bytes()
             if not stream.authenticated:
@@ -141,7 +141,7 @@
         if endpoint is None:
             return
         self._interest.pop(stream)
-        self._dirty.discard(stream)
+        self._to_write.discard(stream)
         self._selector.unregister(stream.sock)
         stream.close()
         self._stats.bytes_sent += stream.take_sent_bytes()
@@ -165,7 +165,7 @@
             if stream not in self._endpoints:
                 return
             if stream.backlogged or not was_authenticated:
-                self._dirty.add(stream)
+                self._to_write.add(stream)
         except (OSError, PeerStreamError) as error:
             self._fail(stream, now, error)
         except Exception:
@@ -186,6 +186,6 @@
     def _update_interest(self, stream: PeerStream) -> None:
         interest = stream.interest
         if interest != self._interest[stream]:
-            ready = partial(self._on_events, stream)
-            self._selector.modify(stream.sock, interest, ready)
+            on_events = partial(self._on_events, stream)
+            self._selector.modify(stream.sock, interest, on_events)
             self._interest[stream] = interest
--- a/damaskbay/adapters/peer_stream/server.py
+++ b/damaskbay/adapters/peer_stream/server.py
@@ -114,7 +114,7 @@
         self._stats.replies_dropped += 1
         self._pool.put(stream, FrameKind.DROPPED, request.correlation_id)
 
-    def remove_replied(self, request: IncomingRequest) -> None:
+    def on_reply_written(self, request: IncomingRequest) -> None:
         """Stop tracking a request whose reply was written by another thread."""
         self._remove(request)
 
--- a/damaskbay/adapters/peer_stream/stream.py
+++ b/damaskbay/adapters/peer_stream/stream.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import TypeVar
 
-from damaskbay.adapters.peer_stream.const import MAX_DIRECT_BYTES, RECEIVE_BYTES
+from damaskbay.adapters.peer_stream.const import MAX_DIRECT_SEND_BYTES, RECEIVE_BYTES
 from damaskbay.adapters.peer_stream.exceptions import FrameError, PeerStreamError
 from damaskbay.adapters.peer_stream.frames import (
     Frame,
@@ -77,7 +77,9 @@
         self._handshake_outbox = Outbox()
         self._lock = threading.Lock()
         self._uses_tls = isinstance(sock, ssl.SSLSocket)
-        self._max_direct_bytes = min(MAX_DIRECT_BYTES, options.max_frame_bytes)
+        self._max_direct_send_bytes = min(
+            MAX_DIRECT_SEND_BYTES, options.max_frame_bytes
+        )
         self._reported_sent_bytes = 0
         self._interest = selectors.EVENT_WRITE
 
@@ -131,7 +133,7 @@
         `before_write(context)` was called before the first byte was written; if it
         returned True, the frame was written, and any rest is queued.
         """
-        if self._uses_tls or len(frame.data) > self._max_direct_bytes:
+        if self._uses_tls or len(frame.data) > self._max_direct_send_bytes:
             return False
         if not self._lock.acquire(blocking=False):
             return False
--- a/damaskbay/adapters/peer_stream/streams.py
+++ b/damaskbay/adapters/peer_stream/streams.py
@@ -106,9 +106,9 @@
         self._command_handlers: dict[type[Any], Callable[[Any, float], None]] = {
             OutgoingRequest: self._client.request,
             ReplyCommand: lambda command, _: self._server.send_reply(command),
-            IncomingRequest: lambda request, _: self._server.remove_replied(request),
+            IncomingRequest: lambda request, _: self._server.on_reply_written(request),
             OnCancelCommand: lambda command, _: self._server.add_on_cancel(command),
-            FlushCommand: lambda flush, _: self._pool.mark_dirty(flush.stream),
+            FlushCommand: lambda flush, _: self._pool.mark_for_write(flush.stream),
             _SendCommand: lambda send, now: self._client.send(
                 send.peer, send.payload, now
             ),
@@ -201,7 +201,7 @@
         return self._client.next_deadline()
 
     def on_stopped(self) -> None:
-        """Close all streams; requests in flight fail."""
+        """Close the listener and all streams; requests in flight fail."""
         self._server.close_listener()
         now = self.clock()
         for endpoint in (self._client, self._server):
--- a/tests/adapters/peer_stream/common.py
+++ b/tests/adapters/peer_stream/common.py
@@ -114,24 +114,30 @@
     def _accept(self) -> None:
         with contextlib.suppress(OSError):
             while True:
-                near, _ = self._listener.accept()
-                far = socket.create_connection((self._target.host, self._target.port))
-                self._sockets += [near, far]
+                incoming, _ = self._listener.accept()
+                outgoing = socket.create_connection(
+                    (self._target.host, self._target.port)
+                )
+                self._sockets += [incoming, outgoing]
                 number = self.connections
                 self.connections += 1
-                self._pool.submit(self._pass, number, "there", near, far)
-                self._pool.submit(self._pass, number, "back", far, near)
-
-    def _pass(
-        self, number: int, direction: str, source: socket.socket, to: socket.socket
+                self._pool.submit(self._copy, number, "forward", incoming, outgoing)
+                self._pool.submit(self._copy, number, "backward", outgoing, incoming)
+
+    def _copy(
+        self,
+        number: int,
+        direction: str,
+        source: socket.socket,
+        destination: socket.socket,
     ) -> None:
-        left = self.cut_after.get(direction, 1 << 40)
+        remaining = self.cut_after.get(direction, 1 << 40)
         with contextlib.suppress(OSError):
-            while left and (data := source.recv(65_536)):
+            while remaining and (data := source.recv(65_536)):
                 if (number, direction) not in self._frozen:
-                    to.sendall(data[:left])
-                left -= min(left, len(data))
-        for sock in (source, to):
+                    destination.sendall(data[:remaining])
+                remaining -= min(remaining, len(data))
+        for sock in (source, destination):
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
 
--- a/tests/adapters/peer_stream/test_failures.py
+++ b/tests/adapters/peer_stream/test_failures.py
@@ -50,7 +50,7 @@
 
 @given(
     cut=st.integers(0, 700),
-    direction=st.sampled_from(["there", "back"]),
+    direction=st.sampled_from(["forward", "backward"]),
 )
 @settings(derandomize=True, deadline=None, max_examples=60)
 def test_cut_at_any_byte(cut: int, direction: str) -> None:
@@ -74,7 +74,7 @@
 
 def test_silent_streams_are_replaced_while_requests_wait() -> None:
     """Requests on the old stream fail as LOST; new ones use a new stream."""
-    for directions in (("there",), ("back",), ("there", "back")):
+    for directions in (("forward",), ("backward",), ("forward", "backward")):
         hold = HoldNegativeNumbers()
         with (
             link("b", hold, options=SHORT_TIMEOUTS) as b,
@@ -273,14 +273,14 @@
     """Connections that never authenticate do not block other peers."""
     options = dataclasses.replace(SHORT_TIMEOUTS, max_unauthenticated_streams=4)
     with link("b", options=options) as b, link("a") as a:
-        silent = [raw_initiator(b) for _ in range(20)]
-        peers = [item.__enter__() for item in silent]
+        initiators = [raw_initiator(b) for _ in range(20)]
+        peers = [item.__enter__() for item in initiators]
         assert eventually(lambda: b.stats().streams_refused == 16)
         reply = a.request(b.address, Request(3), timeout_s=WAIT_S).result()
         assert reply == Reply(3)
         assert eventually(lambda: b.stats().streams == 1)
         assert [peer.read() for peer in peers] == [None] * 20
-        for item in silent:
+        for item in initiators:
             item.__exit__(None, None, None)
 
 
--- a/tests/adapters/peer_stream/test_streams.py
+++ b/tests/adapters/peer_stream/test_streams.py
@@ -46,9 +46,9 @@
     """Concurrent requests of many sizes from both ends get their own replies."""
     with link("a") as a, link("b") as b:
         requests = [Request(number, bytes(number * 997)) for number in range(100)]
-        there = [a.request(b.address, item, timeout_s=WAIT_S) for item in requests]
-        back = [b.request(a.address, item, timeout_s=WAIT_S) for item in requests]
-        for item, one, other in zip(requests, there, back, strict=True):
+        from_a = [a.request(b.address, item, timeout_s=WAIT_S) for item in requests]
+        from_b = [b.request(a.address, item, timeout_s=WAIT_S) for item in requests]
+        for item, one, other in zip(requests, from_a, from_b, strict=True):
             assert one.result() == other.result() == Reply(item.number, item.body)
 
 
