--- a/damaskbay/adapters/peer_stream/client.py
+++ b/damaskbay/adapters/peer_stream/client.py
@@ -89,7 +89,7 @@
         """Stop a request whose future was cancelled."""
         if self._requests_by_id.get(request.correlation_id) is request:
             self._stats.requests_cancelled += 1
-            self._stop_tracking(request)
+            self._abandon(request)
 
     def on_frame(self, stream: PeerStream, frame: Frame, now: float) -> None:
         """Match a reply to its request, which must have used the same stream."""
@@ -140,7 +140,7 @@
             request = self._requests_by_id.get(correlation_id)
             if request is not None:
                 self._stats.requests_timed_out += 1
-                self._stop_tracking(request)
+                self._abandon(request)
                 request.fail(PeerProblem.TIMEOUT, "no reply in time")
         for stream in self._pool.streams_of(self):
             self._close_unused(stream, now)
@@ -158,8 +158,8 @@
             self._stats.streams_idle_closed += 1
             self._drain_stream(stream)
 
-    def _stop_tracking(self, request: OutgoingRequest) -> None:
-        """Stop tracking a request; cancel it at the peer if its frame has started."""
+    def _abandon(self, request: OutgoingRequest) -> None:
+        """Untrack a request, and cancel it at the peer if its frame has started."""
         stream, frame = request.stream, request.frame
         self._untrack(request)
         if stream is None or frame is None or stream.state is StreamState.ENDED:
@@ -221,7 +221,7 @@
 
     def _open_stream(self, peer: PeerAddress, now: float) -> PeerStream | str:
         if self._reconnect_not_before.get(peer, now) > now:
-            return "a recent connection to the peer failed"
+            return "a recent connection attempt to the peer failed"
         if len(self._pool) >= self._options.max_streams and not self._evict_idle(now):
             return "too many streams"
         try:
--- a/damaskbay/adapters/peer_stream/stream.py
+++ b/damaskbay/adapters/peer_stream/stream.py
@@ -74,7 +74,7 @@
         self._stats = stats
         self._reader = FrameReader()
         self._outbox = Outbox()
-        self._handshake_outbox = Outbox()
+        self._deferred_outbox = Outbox()
         self._lock = threading.Lock()
         self._uses_tls = isinstance(sock, ssl.SSLSocket)
         self._max_direct_send_bytes = min(
@@ -103,7 +103,7 @@
     @property
     def queued_bytes(self) -> int:
         """Return the size of all queued frames, also those held until the handshake."""
-        return self._outbox.queued_bytes + self._handshake_outbox.queued_bytes
+        return self._outbox.queued_bytes + self._deferred_outbox.queued_bytes
 
     @property
     def interest(self) -> int:
@@ -120,7 +120,7 @@
         """Queue a frame; the next flush after the handshake writes it."""
         frame = OutgoingFrame(encode(kind, correlation_id, payload))
         with self._lock:
-            (self._outbox if self.authenticated else self._handshake_outbox).put(frame)
+            (self._outbox if self.authenticated else self._deferred_outbox).put(frame)
         return frame
 
     def try_send(
@@ -149,9 +149,7 @@
     def withdraw(self, frame: OutgoingFrame) -> bool:
         """Remove a queued frame; return False if a byte of it may have left."""
         with self._lock:
-            return self._outbox.withdraw(frame) or self._handshake_outbox.withdraw(
-                frame
-            )
+            return self._outbox.withdraw(frame) or self._deferred_outbox.withdraw(frame)
 
     def flush(self) -> None:
         """Write frames until the socket would block; raise OSError if it fails."""
@@ -252,7 +250,7 @@
     def _mark_authenticated(self) -> None:
         self._reader.max_bytes = self._options.max_frame_bytes
         with self._lock:
-            self._handshake_outbox.move_to(self._outbox)
+            self._deferred_outbox.move_to(self._outbox)
             self.state = StreamState.AUTHENTICATED
             self.authenticated = True
         self.was_authenticated = True
