--- a/damaskbay/adapters/backend_http/client.py
+++ b/damaskbay/adapters/backend_http/client.py
@@ -1,4 +1,4 @@
-"""Calls to the local backend server over kept-alive connections."""
+"""HTTP client of the local backend server with kept-alive connections."""
 
 import http.client
 import logging
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendHttpOptions:
-    """Where the backend server listens and what it bears. Times in seconds."""
+    """Address, limits and timeouts of the backend server. Times in seconds."""
 
     host: str
     port: int
@@ -45,10 +45,10 @@
 
 class HttpBackendServer:
     """
-    The local backend server (port: BackendServer), safe from any thread.
+    Client of the local backend server; implements BackendServer. Thread-safe.
 
     Never opens more than `max_connections`. A connection carries one request at
-    a time; one that failed, was cancelled or went past its deadline is closed.
+    a time and is closed if the request fails, is cancelled or misses its deadline.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self._options = options
         self._clock = clock
         self._idle: deque[Connection] = deque()
-        self._room = threading.BoundedSemaphore(options.max_connections)
+        self._connection_semaphore = threading.BoundedSemaphore(options.max_connections)
         self._closed = False
 
     def __enter__(self) -> Self:
@@ -84,13 +84,17 @@
         deadline: float,
         cancellation: Cancellation,
     ) -> Answer | Refusal:
-        """Send once; see ports.backend.BackendServer."""
-        if not self._room.acquire(timeout=max(0.0, deadline - self._clock())):
-            return not_run(Reason.DEADLINE_PASSED, detail="no free connection")
+        """Send the request once; see ports.backend.BackendServer."""
+        if not self._connection_semaphore.acquire(
+            timeout=max(0.0, deadline - self._clock())
+        ):
+            return not_run(
+                Reason.DEADLINE_PASSED, detail="no free connection before the deadline"
+            )
         try:
             return self._call(request, call_token, deadline, cancellation)
         finally:
-            self._room.release()
+            self._connection_semaphore.release()
 
     def _call(
         self,
@@ -99,28 +103,28 @@
         deadline: float,
         cancellation: Cancellation,
     ) -> Answer | Refusal:
-        opened = self._open(deadline)
-        if isinstance(opened, Refusal):
-            return opened
-        abort = _Abort(opened)
+        connection = self._open(deadline)
+        if isinstance(connection, Refusal):
+            return connection
+        abort = _Abort(connection)
         cancellation.on_cancel(abort)
         try:
             if cancellation.cancelled:
                 return not_run(Reason.CANCELLED)
-            answer = self._exchange(opened, request, call_token, deadline)
+            response = self._exchange(connection, request, call_token, deadline)
         finally:
             cancellation.forget(abort)
             aborted = abort.disarm()
-            if opened.reusable and not aborted:
-                self._keep(opened)
+            if connection.reusable and not aborted:
+                self._store_idle(connection)
             else:
-                opened.close()
-        if aborted and isinstance(answer, Refusal):
-            return _refuse(opened, Reason.CANCELLED, "")
-        return answer
+                connection.close()
+        if aborted and isinstance(response, Refusal):
+            return _refusal(connection, Reason.CANCELLED, "")
+        return response
 
     def _open(self, deadline: float) -> Connection | Refusal:
-        """Return a usable connection, connected, with nothing written yet."""
+        """Return an open connection: an idle one or a new one."""
         while self._idle:
             connection = self._idle.pop()
             idle_s = self._clock() - connection.idle_since
@@ -136,7 +140,7 @@
             connection.connect()
         except OSError as error:
             connection.close()
-            return not_run(Reason.BACKEND_SERVER_FAILED, detail=_name_of(error))
+            return not_run(Reason.BACKEND_SERVER_FAILED, detail=_error_name(error))
         return connection
 
     def _exchange(
@@ -162,30 +166,36 @@
                 request.body,
             )
             limit = self._options.max_body_bytes
-            answer = read_answer(connection, deadline, self._clock, limit)
-            headers = without_hop_by_hop(answer.headers)
-            return Answer(answer.status, headers, answer.body)
+            response = read_answer(connection, deadline, self._clock, limit)
+            headers = without_hop_by_hop(response.headers)
+            return Answer(response.status, headers, response.body)
         except TimeoutError:
-            return _refuse(connection, Reason.DEADLINE_PASSED, "no answer in time")
+            return _refusal(
+                connection, Reason.DEADLINE_PASSED, "no response before the deadline"
+            )
         except AnswerTooLargeError:
-            return unknown(Reason.ANSWER_INCOMPLETE, detail="answer over the limit")
+            return unknown(
+                Reason.ANSWER_INCOMPLETE, detail="response exceeds the size limit"
+            )
         except (AnswerCutShortError, http.client.IncompleteRead):
             return unknown(Reason.ANSWER_INCOMPLETE)
         except (OSError, http.client.HTTPException, ValueError) as error:
-            return _refuse(connection, Reason.BACKEND_SERVER_FAILED, _name_of(error))
+            return _refusal(
+                connection, Reason.BACKEND_SERVER_FAILED, _error_name(error)
+            )
 
     def _headers(
         self, request: Request, call_token: str, remaining_s: float
     ) -> Headers:
-        passed = without(without_hop_by_hop(request.headers), _LENGTH_HEADERS)
+        forwarded = without(without_hop_by_hop(request.headers), _LENGTH_HEADERS)
         return (
             ("Host", request.host),
-            *passed,
+            *forwarded,
             (HEADER_CALL_TOKEN, call_token),
             (HEADER_DEADLINE, str(max(1, int(remaining_s * 1000)))),
         )
 
-    def _keep(self, connection: Connection) -> None:
+    def _store_idle(self, connection: Connection) -> None:
         if self._closed:
             connection.close()
             return
@@ -194,7 +204,7 @@
 
 
 class _Abort:
-    """Ends a blocked exchange from another thread, until it is disarmed."""
+    """Shuts down a connection from another thread to end a blocked exchange."""
 
     def __init__(self, connection: Connection) -> None:
         self._connection: Connection | None = connection
@@ -209,20 +219,20 @@
             try:
                 self._connection.sock.shutdown(socket.SHUT_RDWR)
             except OSError:
-                _LOGGER.debug("backend: connection was closed already.")
+                _LOGGER.debug("backend: connection is already closed.")
 
     def disarm(self) -> bool:
-        """Let go of the connection; tell whether it was aborted before."""
+        """Release the connection and return whether it has been aborted."""
         with self._lock:
             self._connection = None
             return self._aborted
 
 
-def _refuse(connection: Connection, reason: Reason, detail: str) -> Refusal:
+def _refusal(connection: Connection, reason: Reason, detail: str) -> Refusal:
     if connection.wrote:
         return unknown(reason, detail=detail)
     return not_run(reason, detail=detail)
 
 
-def _name_of(error: BaseException) -> str:
+def _error_name(error: BaseException) -> str:
     return type(error).__name__
--- a/damaskbay/adapters/backend_http/const.py
+++ b/damaskbay/adapters/backend_http/const.py
@@ -1,4 +1,4 @@
-"""Sizes and times of the adapter to the backend server."""
+"""Timeouts of connections to the backend server."""
 
 from typing import Final
 
--- a/damaskbay/adapters/backend_http/exceptions.py
+++ b/damaskbay/adapters/backend_http/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the adapter to the backend server; they do not leave it."""
+"""Errors internal to the backend server adapter."""
 
 from damaskbay.helpers.http_exchange import AnswerCutShortError, AnswerTooLargeError
 
--- a/damaskbay/adapters/peer_link/__init__.py
+++ b/damaskbay/adapters/peer_link/__init__.py
@@ -1,1 +1,1 @@
-"""Requests and notes between daemons, many at once on one connection each way."""
+"""Multiplexed requests and one-way notes between daemons over TCP."""
--- a/damaskbay/adapters/peer_link/client.py
+++ b/damaskbay/adapters/peer_link/client.py
@@ -1,4 +1,4 @@
-"""Links to the other daemons: kept up, watched and replaced."""
+"""Links to peers: opening, monitoring and reconnecting."""
 
 import asyncio
 import itertools
@@ -10,12 +10,12 @@
 from damaskbay.adapters.http1.sockets import listen
 from damaskbay.adapters.peer_link.const import (
     CONNECT_TIMEOUT_S,
-    NOTE_AT_LEAST_ROUNDS,
-    NOTE_S,
-    QUIET_S,
-    RECONNECT_S,
-    SILENT_S,
-    SUSPECT_S,
+    LINK_TIMEOUT_S,
+    MAX_NOTE_ROUNDS,
+    NOTE_INTERVAL_S,
+    QUIET_AFTER_S,
+    RECONNECT_DELAY_S,
+    SUSPECT_AFTER_S,
 )
 from damaskbay.adapters.peer_link.link import Link, RequestHandler, encode_note
 from damaskbay.helpers.clock import monotonic_s
@@ -26,10 +26,10 @@
 
 class PeerLinks:
     """
-    Keeps a link to each peer that is wanted, and accepts theirs.
+    Keeps a link to each wanted peer and accepts links of peers.
 
-    Requests go over the links opened here. `note` makes what is sent on each of
-    these every `NOTE_S`; `on_note` gets what peers send on theirs. Entered and left
+    Requests and notes are sent on the links opened here. `note` returns the message
+    that is sent every `NOTE_INTERVAL_S`; `on_note` receives the notes of peers. Use it
     as an async context manager.
     """
 
@@ -47,15 +47,15 @@
         self._on_request = on_request
         self._on_note = on_note
         self._note = note
-        self._wanted: dict[PeerAddress, asyncio.Task[None]] = {}
-        self._links: dict[PeerAddress, Link] = {}
+        self._tasks_by_peer: dict[PeerAddress, asyncio.Task[None]] = {}
+        self._links_by_peer: dict[PeerAddress, Link] = {}
         self._accepted: set[Link] = set()
         self._server: asyncio.Server | None = None
-        self._noting: asyncio.Task[None] | None = None
+        self._note_task: asyncio.Task[None] | None = None
 
     async def __aenter__(self) -> Self:
         self._server = await listen(self._address, self._accept)
-        self._noting = asyncio.create_task(self._keep_noting())
+        self._note_task = asyncio.create_task(self._send_notes())
         return self
 
     async def __aexit__(
@@ -64,8 +64,8 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        if self._noting is not None:
-            self._noting.cancel()
+        if self._note_task is not None:
+            self._note_task.cancel()
         self.want(frozenset())
         if self._server is not None:
             self._server.close()
@@ -73,60 +73,60 @@
             link.abort()
 
     def want(self, peers: frozenset[PeerAddress]) -> None:
-        """Keep links to these peers and to no others."""
-        for gone in self._wanted.keys() - peers:
-            self._wanted.pop(gone).cancel()
-            link = self._links.pop(gone, None)
+        """Set the peers to keep links to; close the links to all others."""
+        for unwanted in self._tasks_by_peer.keys() - peers:
+            self._tasks_by_peer.pop(unwanted).cancel()
+            link = self._links_by_peer.pop(unwanted, None)
             if link is not None:
                 link.abort()
         loop = asyncio.get_running_loop()
-        for peer in peers - self._wanted.keys():
-            self._wanted[peer] = loop.create_task(self._keep(peer))
+        for peer in peers - self._tasks_by_peer.keys():
+            self._tasks_by_peer[peer] = loop.create_task(self._maintain_link(peer))
 
     def up_peers(self) -> tuple[PeerAddress, ...]:
-        """Return the peers that can be asked."""
-        return tuple(peer for peer in self._links if self.up(peer))
+        """Return the peers that new requests can be sent to."""
+        return tuple(peer for peer in self._links_by_peer if self.up(peer))
 
     @property
     def up_count(self) -> int:
-        """Return the number of links opened here."""
-        return len(self._links)
+        """Return the number of links opened by this daemon."""
+        return len(self._links_by_peer)
 
     def up(self, peer: PeerAddress) -> bool:
-        """Tell whether there is a link that new requests should take."""
-        link = self._links.get(peer)
+        """Return whether there is a link to the peer that is open and not suspect."""
+        link = self._links_by_peer.get(peer)
         return link is not None and link.open and not link.suspect
 
     async def request(
         self, peer: PeerAddress, message: Any, *, timeout_s: float
     ) -> Any:
-        """Send over the link to a peer and return its answer or a PeerFailure."""
-        link = self._links.get(peer)
+        """Send a request to a peer and return its reply or a PeerFailure."""
+        link = self._links_by_peer.get(peer)
         if link is None:
             return PeerFailure(PeerProblem.NOT_SENT, "no link")
         return await link.request(message, timeout_s=timeout_s)
 
     def tell_all(self) -> None:
-        """Send a note on every link now."""
+        """Send a note on every opened link now."""
         note = encode_note(self._note())
-        for link in self._links.values():
+        for link in self._links_by_peer.values():
             link.send(note)
 
-    def _suspect(self, link: Link, suspect: bool) -> None:
+    def _set_suspect(self, link: Link, suspect: bool) -> None:
         if suspect is not link.suspect:
             link.suspect = suspect
             self._on_links_change()
 
     def _accept(self) -> Link:
-        link = Link(self._on_request, self._noted, self._accepted.discard)
+        link = Link(self._on_request, self._handle_note, self._accepted.discard)
         self._accepted.add(link)
         return link
 
-    def _noted(self, _link: Link, message: Any) -> None:
+    def _handle_note(self, _link: Link, message: Any) -> None:
         self._on_note(message)
 
-    async def _keep(self, peer: PeerAddress) -> None:
-        """Connect again and again while the peer is wanted."""
+    async def _maintain_link(self, peer: PeerAddress) -> None:
+        """Connect to the peer, and reconnect after a failure, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             ended = asyncio.Event()
@@ -138,7 +138,7 @@
                 _, link = await asyncio.wait_for(
                     loop.create_connection(
                         lambda on_end=on_end: Link(  # type: ignore[misc]
-                            self._on_request, self._noted, on_end
+                            self._on_request, self._handle_note, on_end
                         ),
                         peer.host,
                         peer.port,
@@ -146,35 +146,35 @@
                     CONNECT_TIMEOUT_S,
                 )
             except (OSError, TimeoutError):
-                await asyncio.sleep(RECONNECT_S)
+                await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
-            self._links[peer] = link
+            self._links_by_peer[peer] = link
             self._on_links_change()
             link.send(encode_note(self._note()))
             _LOGGER.info("peer: link is up.", extra={"peer": str(peer)})
             await ended.wait()
-            if self._links.get(peer) is link:
-                del self._links[peer]
+            if self._links_by_peer.get(peer) is link:
+                del self._links_by_peer[peer]
             self._on_links_change()
             _LOGGER.warning("peer: link is lost.", extra={"peer": str(peer)})
-            await asyncio.sleep(RECONNECT_S)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
-    async def _keep_noting(self) -> None:
-        due = monotonic_s() + NOTE_S
-        for turn in itertools.count():
-            await asyncio.sleep(NOTE_S)
+    async def _send_notes(self) -> None:
+        due_at = monotonic_s() + NOTE_INTERVAL_S
+        for round_number in itertools.count():
+            await asyncio.sleep(NOTE_INTERVAL_S)
             now = monotonic_s()
-            paused = now - due > NOTE_S
-            due = now + NOTE_S
+            was_suspended = now - due_at > NOTE_INTERVAL_S
+            due_at = now + NOTE_INTERVAL_S
             note = encode_note(self._note())
-            for link in (*self._links.values(), *self._accepted):
-                if paused:
-                    # This process stood still: silence says nothing of the peer.
-                    link.heard_at = now
-                if now - link.heard_at > SILENT_S:
+            for link in (*self._links_by_peer.values(), *self._accepted):
+                if was_suspended:
+                    # This process was suspended; the peer may still be alive.
+                    link.last_received_at = now
+                if now - link.last_received_at > LINK_TIMEOUT_S:
                     link.abort()
-            whole_round = turn % NOTE_AT_LEAST_ROUNDS == 0
-            for link in self._links.values():
-                self._suspect(link, now - link.heard_at > SUSPECT_S)
-                if whole_round or now - link.heard_at > QUIET_S:
+            all_links = round_number % MAX_NOTE_ROUNDS == 0
+            for link in self._links_by_peer.values():
+                self._set_suspect(link, now - link.last_received_at > SUSPECT_AFTER_S)
+                if all_links or now - link.last_received_at > QUIET_AFTER_S:
                     link.send(note)
--- a/damaskbay/adapters/peer_link/const.py
+++ b/damaskbay/adapters/peer_link/const.py
@@ -1,30 +1,35 @@
-"""Times and sizes of peer links."""
+"""Timeouts and limits of peer links."""
 
 from typing import Final
 
-NOTE_S: Final = 0.5
-"""Seconds between notes on each quiet link; they also prove that the path is alive."""
+NOTE_INTERVAL_S: Final = 0.5
+"""Seconds between notes on each quiet link; they also serve as heartbeats."""
 
-QUIET_S: Final = 0.15
-"""Seconds without a byte after which a link is quiet; with a round below SUSPECT_S."""
+QUIET_AFTER_S: Final = 0.15
+"""
+Seconds without a received byte before a link is quiet.
 
-NOTE_AT_LEAST_ROUNDS: Final = 4
-"""Rounds of `NOTE_S` after which a link gets a note though it carries requests."""
+Plus NOTE_INTERVAL_S it stays below SUSPECT_AFTER_S: a link that is not yet quiet in
+one round gets a note in the next one, before it becomes suspect.
+"""
 
-SUSPECT_S: Final = 0.8
-"""Seconds without a byte after which new requests avoid a link: a note is missing."""
+MAX_NOTE_ROUNDS: Final = 4
+"""Each link gets a note every this many rounds, even if it carries requests."""
 
-SILENT_S: Final = 1.5
-"""Seconds without a byte after which a link counts as lost: three notes."""
+SUSPECT_AFTER_S: Final = 0.8
+"""Seconds without a received byte before requests avoid a link; a note is overdue."""
+
+LINK_TIMEOUT_S: Final = 1.5
+"""Seconds without a received byte, three notes, before a link is closed."""
 
 CONNECT_TIMEOUT_S: Final = 1.0
-"""Seconds a connection may take; the farthest round trip is tens of milliseconds."""
+"""Seconds to connect; the longest round trip is tens of milliseconds."""
 
-RECONNECT_S: Final = 0.25
-"""Seconds between attempts to reach a peer."""
+RECONNECT_DELAY_S: Final = 0.25
+"""Seconds between attempts to connect to a peer."""
 
 MAX_FRAME_BYTES: Final = 80 * 1024 * 1024
-"""Largest frame; a body of the largest allowed size and its headers fit."""
+"""Maximum frame size; fits a body of the maximum size with its headers."""
 
-MAX_RUNNING: Final = 4096
-"""Requests that one peer may have under way here; bounds memory."""
+MAX_RUNNING_REQUESTS: Final = 4096
+"""Requests of one peer that run here at once; bounds memory."""
--- a/damaskbay/adapters/peer_link/exceptions.py
+++ b/damaskbay/adapters/peer_link/exceptions.py
@@ -1,5 +1,5 @@
-"""Errors that stay inside the adapter."""
+"""Errors internal to the peer link adapter."""
 
 
 class BadFrameError(Exception):
-    """Bytes that are no frame; the link they came on is closed."""
+    """The received bytes are not a valid frame; the link is closed."""
--- a/damaskbay/adapters/peer_link/frames.py
+++ b/damaskbay/adapters/peer_link/frames.py
@@ -1,4 +1,4 @@
-"""Frames of a link: the msgpack of kind, number and payload, one after the other."""
+"""Frames of a link: a stream of msgpack arrays of kind, number and payload."""
 
 from collections.abc import Iterator
 from enum import Enum
@@ -11,27 +11,27 @@
 
 
 class FrameKind(Enum):
-    """What a frame is for. A request's number comes back on what answers it."""
+    """Purpose of a frame. The frames that end a request repeat its number."""
 
     REQUEST = 0
-    ANSWER = 1
+    REPLY = 1
     CANCEL = 2
     REJECTED = 3
-    """The request was not handled."""
+    """The request was not run: invalid, or too many are running."""
 
-    DROPPED = 4
-    """The request was handled, but there is no answer to send."""
+    FAILED = 4
+    """The request was run, but its handler failed and there is no reply."""
 
     NOTE = 5
-    HEARD = 6
-    """Answers a note, so that both ends know that the path is alive."""
+    NOTE_ACK = 6
+    """Acknowledges a note, so that both ends know that the link is alive."""
 
 
 _KINDS = {kind.value: kind for kind in FrameKind}
 
 
 class Frame(NamedTuple):
-    """One frame. `number` is 0 where nothing is matched."""
+    """One frame. `number` is 0 if the frame belongs to no request."""
 
     kind: FrameKind
     number: int
@@ -39,34 +39,34 @@
 
 
 def encode(kind: FrameKind, number: int = 0, payload: bytes = b"") -> bytes:
-    """Return the bytes of a frame."""
+    """Encode a frame."""
     encoded: bytes = msgpack.packb((kind.value, number, payload))
     return encoded
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames."""
+    """Incremental decoder of a byte stream into frames."""
 
     def __init__(self) -> None:
         self._unpacker = msgpack.Unpacker(
             use_list=False, max_buffer_size=MAX_FRAME_BYTES
         )
 
-    def take(self, data: bytes) -> Iterator[Frame]:
-        """Take bytes as they came; yield the frames that are whole or raise."""
+    def feed(self, data: bytes) -> Iterator[Frame]:
+        """Add received bytes and yield the complete frames; raise BadFrameError."""
         try:
             self._unpacker.feed(data)
             for item in self._unpacker:
-                yield _frame(item)
+                yield _parse_frame(item)
         except (ValueError, msgpack.exceptions.UnpackException) as error:
             raise BadFrameError(f"not msgpack: {type(error).__name__}") from None
 
 
-def _frame(item: object) -> Frame:
+def _parse_frame(item: object) -> Frame:
     if type(item) is not tuple or len(item) != 3:
-        raise BadFrameError("not three values")
+        raise BadFrameError("frame does not have three values")
     value, number, payload = item
     kind = _KINDS.get(value) if type(value) is int else None
     if kind is None or type(number) is not int or type(payload) is not bytes:
-        raise BadFrameError("not kind, number and payload")
+        raise BadFrameError("frame is not kind, number and payload")
     return Frame(kind, number, payload)
--- a/tests/adapters/backend_http/common.py
+++ b/tests/adapters/backend_http/common.py
@@ -1,4 +1,4 @@
-"""A backend server that says whatever bytes a test wants."""
+"""Backend server with scripted responses."""
 
 import socket
 import threading
@@ -18,7 +18,7 @@
 
 @contextmanager
 def scripted_server(script: Script) -> Iterator[int]:
-    """Run `script` with each accepted connection; give the port."""
+    """Run `script` for each accepted connection; yield the port."""
     listener = socket.create_server(("127.0.0.1", 0))
     stop = threading.Event()
     threads: list[threading.Thread] = []
@@ -55,7 +55,7 @@
 
 
 def read_request(connection: socket.socket) -> bytes:
-    """Read up to the end of the head; bodies in tests fit into the same read."""
+    """Read up to the end of the headers; a small body is in the same read."""
     data = b""
     while b"\r\n\r\n" not in data:
         chunk = connection.recv(READ_BYTES)
@@ -67,7 +67,7 @@
 
 @contextmanager
 def backend_at(port: int, *, max_connections: int = 4) -> Iterator[HttpBackendServer]:
-    """Give an adapter to a server on loopback."""
+    """Yield a client of the backend server at a loopback port."""
     options = BackendHttpOptions("127.0.0.1", port, max_connections)
     with HttpBackendServer(options) as backend:
         yield backend
--- a/tests/adapters/backend_http/test_client.py
+++ b/tests/adapters/backend_http/test_client.py
@@ -21,7 +21,7 @@
 from tests.common import function_suite
 
 BODY = bytes(range(256)) * 4
-WHOLE = (
+COMPLETE = (
     b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Repeat: 1\r\nX-Repeat: 2\r\n"
     b"Connection: X-Own, keep-alive\r\nX-Own: 1\r\n\r\n" % len(BODY)
 ) + BODY
@@ -46,25 +46,28 @@
     )
 
 
-def _answering(answer: bytes) -> "tuple[list[bytes], object]":
-    seen: list[bytes] = []
+def _responding(response: bytes) -> "tuple[list[bytes], object]":
+    requests: list[bytes] = []
 
     def script(connection: socket.socket) -> None:
         while True:
             request = read_request(connection)
             if not request:
                 return
-            seen.append(request)
-            connection.sendall(answer)
-            if not answer.startswith(b"HTTP/1.1 200") or answer not in (WHOLE, CHUNKED):
+            requests.append(request)
+            connection.sendall(response)
+            if not response.startswith(b"HTTP/1.1 200") or response not in (
+                COMPLETE,
+                CHUNKED,
+            ):
                 return
 
-    return seen, script
+    return requests, script
 
 
 def test_whole_answer_and_reused_connection() -> None:
-    """Bodies, repeated headers and the call token pass; one connection serves two."""
-    seen, script = _answering(WHOLE)
+    """Body, repeated headers and call token are passed on; the connection is reused."""
+    requests, script = _responding(COMPLETE)
     with scripted_server(script) as port, backend_at(port) as backend:  # type: ignore[arg-type]
         first = _call(backend)
         second = _call(backend)
@@ -73,15 +76,15 @@
     assert first.body == BODY
     assert [v for n, v in first.headers if n == "X-Repeat"] == ["1", "2"]
     assert all(name not in ("Connection", "X-Own") for name, _ in first.headers)
-    assert f"{HEADER_CALL_TOKEN}: token-1".encode() in seen[0]
-    assert seen[0].startswith(b"GET /x?y=1 HTTP/1.1\r\nHost: campo\r\n")
+    assert f"{HEADER_CALL_TOKEN}: token-1".encode() in requests[0]
+    assert requests[0].startswith(b"GET /x?y=1 HTTP/1.1\r\nHost: campo\r\n")
 
 
 @settings(derandomize=True, max_examples=40, deadline=None)
-@given(st.integers(0, len(WHOLE) - 1))
+@given(st.integers(0, len(COMPLETE) - 1))
 def test_answer_cut_anywhere_never_passes_for_whole(cut: int) -> None:
-    """An answer that ends early is `unknown`, wherever it ends."""
-    _, script = _answering(WHOLE[:cut])
+    """A response that is cut at any byte gives the outcome `unknown`."""
+    _, script = _responding(COMPLETE[:cut])
     with scripted_server(script) as port, backend_at(port) as backend:  # type: ignore[arg-type]
         outcome = _call(backend)
     assert isinstance(outcome, Refusal)
@@ -91,8 +94,8 @@
 @settings(derandomize=True, max_examples=20, deadline=None)
 @given(st.integers(0, len(CHUNKED) - 1))
 def test_chunked_answer_cut_anywhere(cut: int) -> None:
-    """The same for a chunked answer."""
-    _, script = _answering(CHUNKED[:cut])
+    """A chunked response that is cut at any byte gives the outcome `unknown`."""
+    _, script = _responding(CHUNKED[:cut])
     with scripted_server(script) as port, backend_at(port) as backend:  # type: ignore[arg-type]
         outcome = _call(backend)
     assert isinstance(outcome, Refusal)
@@ -100,8 +103,8 @@
 
 
 def test_answer_without_a_length_is_not_whole() -> None:
-    """An answer that only the end of the connection ends can't be proven whole."""
-    _, script = _answering(b"HTTP/1.1 200 OK\r\n\r\nsome")
+    """A response that ends with the connection may be cut, so it is incomplete."""
+    _, script = _responding(b"HTTP/1.1 200 OK\r\n\r\nsome")
     with scripted_server(script) as port, backend_at(port) as backend:  # type: ignore[arg-type]
         outcome = _call(backend)
     assert isinstance(outcome, Refusal)
@@ -109,7 +112,7 @@
 
 
 def test_refused_connection_is_not_run() -> None:
-    """Nobody listens: no byte was written."""
+    """If the TCP connection is refused, nothing is written and the call is not run."""
     listener = socket.create_server(("127.0.0.1", 0))
     port = listener.getsockname()[1]
     listener.close()
@@ -120,7 +123,7 @@
 
 
 def test_silent_server_ends_at_the_deadline() -> None:
-    """A server that never answers costs the deadline and is `unknown`."""
+    """A call without a response ends at its deadline with the outcome `unknown`."""
     release = threading.Event()
 
     def script(connection: socket.socket) -> None:
@@ -136,13 +139,13 @@
 
 
 def test_cancellation_closes_the_connection() -> None:
-    """The backend server sees the end of the connection; the call is `unknown`."""
-    came = threading.Event()
+    """The backend server sees the connection close; the outcome is `unknown`."""
+    received = threading.Event()
     closed = threading.Event()
 
     def script(connection: socket.socket) -> None:
         read_request(connection)
-        came.set()
+        received.set()
         if connection.recv(1) == b"":
             closed.set()
 
@@ -153,7 +156,7 @@
             target=lambda: outcomes.append(_call(backend, cancellation=cancellation))
         )
         caller.start()
-        assert came.wait(WAIT_S)
+        assert received.wait(WAIT_S)
         cancellation.cancel()
         caller.join(WAIT_S)
         assert closed.wait(WAIT_S)
@@ -163,32 +166,32 @@
 
 
 def test_cancelled_before_sending_is_not_run() -> None:
-    """A call cancelled before its first byte never reaches the server."""
-    seen, script = _answering(WHOLE)
+    """A call cancelled before its first byte never reaches the backend server."""
+    requests, script = _responding(COMPLETE)
     cancellation = Cancellation()
     cancellation.cancel()
     with scripted_server(script) as port, backend_at(port) as backend:  # type: ignore[arg-type]
         outcome = _call(backend, cancellation=cancellation)
     assert isinstance(outcome, Refusal)
     assert outcome.not_run
-    assert seen == []
+    assert requests == []
 
 
 def test_connection_limit_is_never_exceeded() -> None:
-    """More calls than connections wait for one, up to their deadline."""
+    """Calls above the connection limit wait for a connection until their deadline."""
     open_now = 0
-    most = 0
+    max_open = 0
     lock = threading.Lock()
     release = threading.Event()
 
     def script(connection: socket.socket) -> None:
-        nonlocal open_now, most
+        nonlocal open_now, max_open
         with lock:
             open_now += 1
-            most = max(most, open_now)
+            max_open = max(max_open, open_now)
         read_request(connection)
         release.wait(WAIT_S)
-        connection.sendall(WHOLE)
+        connection.sendall(COMPLETE)
         read_request(connection)
         with lock:
             open_now -= 1
@@ -204,7 +207,7 @@
         release.set()
         for caller in callers:
             caller.join(WAIT_S)
-    assert most <= 2
+    assert max_open <= 2
     assert isinstance(refused, Refusal)
     assert refused.not_run
 
--- a/tests/adapters/peer_link/test_frames.py
+++ b/tests/adapters/peer_link/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames of a link, whole and broken."""
+"""Tests of encoding and decoding frames."""
 
 import unittest
 
@@ -18,32 +18,32 @@
 
 @given(st.lists(frames, max_size=8), st.integers(1, 9))
 def test_frames_come_back_however_they_are_cut(sent: list[Frame], size: int) -> None:
-    """A stream may arrive in pieces of any size."""
+    """Frames are decoded whatever the size of the received pieces."""
     data = b"".join(encode(*frame) for frame in sent)
     reader = FrameReader()
-    found: list[Frame] = []
+    received: list[Frame] = []
     for start in range(0, len(data), size):
-        found.extend(reader.take(data[start : start + size]))
-    assert found == sent
+        received.extend(reader.feed(data[start : start + size]))
+    assert received == sent
 
 
 @given(st.binary(min_size=1, max_size=60))
 def test_garbage_is_no_frame(data: bytes) -> None:
-    """Any bytes give frames, wait for more, or raise the adapter's error."""
+    """Any bytes give frames, an incomplete frame or BadFrameError."""
     try:
-        list(FrameReader().take(data))
+        list(FrameReader().feed(data))
     except BadFrameError as error:
         assert str(error)
 
 
 def test_a_wrong_shape_is_refused() -> None:
-    """Values of other types or an unknown kind close the link."""
-    for wrong in (b"\x93\xc3\x00\xc4\x00", b"\x93\x63\x00\xc4\x00", b"\x90", b"\x01"):
+    """Wrong types, a wrong number of values or an unknown kind raise BadFrameError."""
+    for invalid in (b"\x93\xc3\x00\xc4\x00", b"\x93\x63\x00\xc4\x00", b"\x90", b"\x01"):
         try:
-            list(FrameReader().take(wrong))
+            list(FrameReader().feed(invalid))
         except BadFrameError:
             continue
-        raise AssertionError(wrong)
+        raise AssertionError(invalid)
 
 
 def load_tests(*_: object) -> unittest.TestSuite:
--- a/tests/adapters/peer_link/test_link.py
+++ b/tests/adapters/peer_link/test_link.py
@@ -1,4 +1,4 @@
-"""Links between daemons on real sockets."""
+"""Tests of links between daemons over real sockets."""
 
 import asyncio
 import socket
@@ -15,11 +15,11 @@
 
 
 class _Daemon:
-    """Answers with the version asked for; version 99 is never answered."""
+    """Replies with the requested version; never replies to version 99."""
 
     def __init__(self) -> None:
-        with socket.create_server(("127.0.0.1", 0)) as found:
-            self.address = PeerAddress("127.0.0.1", found.getsockname()[1])
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            self.address = PeerAddress("127.0.0.1", listener.getsockname()[1])
         self.cancelled = 0
         self.notes: list[Any] = []
         self.links = PeerLinks(
@@ -39,7 +39,7 @@
             raise
         return ConfigHeld(message.newer_than, b"", None)
 
-    async def linked(self, other: "_Daemon") -> None:
+    async def connect(self, other: "_Daemon") -> None:
         self.links.want(frozenset({other.address}))
         async with asyncio.timeout(WAIT_S):
             while not self.links.up(other.address):
@@ -50,7 +50,7 @@
     async def run() -> None:
         one, two = _Daemon(), _Daemon()
         async with one.links, two.links:
-            await one.linked(two)
+            await one.connect(two)
             async with asyncio.timeout(WAIT_S):
                 await check(one, two)
 
@@ -58,28 +58,28 @@
 
 
 def test_many_requests_share_a_link() -> None:
-    """Each gets its own answer."""
+    """Each request gets its own reply."""
 
     async def check(one: _Daemon, two: _Daemon) -> None:
-        asked = [
+        task = [
             one.links.request(two.address, ConfigWanted(number), timeout_s=WAIT_S)
             for number in range(50)
         ]
-        answers = await asyncio.gather(*asked)
+        answers = await asyncio.gather(*task)
         assert [answer.version for answer in answers] == list(range(50))
 
     _run(check)
 
 
 def test_a_cancelled_request_is_cancelled_at_the_peer() -> None:
-    """The peer's handler ends, so that work for nobody stops."""
+    """The peer's handler is cancelled, so that it does no useless work."""
 
     async def check(one: _Daemon, two: _Daemon) -> None:
-        asked = asyncio.create_task(
+        task = asyncio.create_task(
             one.links.request(two.address, ConfigWanted(99), timeout_s=WAIT_S)
         )
         await asyncio.sleep(0.05)
-        asked.cancel()
+        task.cancel()
         while not two.cancelled:
             await asyncio.sleep(0.01)
 
@@ -87,15 +87,15 @@
 
 
 def test_a_lost_link_fails_what_waits_and_cancels_what_runs() -> None:
-    """What was sent on a lost link may have run: it is LOST, not NOT_SENT."""
+    """A request on a closed link may have run: it fails as LOST, not as NOT_SENT."""
 
     async def check(one: _Daemon, two: _Daemon) -> None:
-        asked = asyncio.create_task(
+        task = asyncio.create_task(
             one.links.request(two.address, ConfigWanted(99), timeout_s=WAIT_S)
         )
         await asyncio.sleep(0.05)
         one.links.want(frozenset())
-        failure = await asked
+        failure = await task
         assert isinstance(failure, PeerFailure)
         assert failure.problem is PeerProblem.LOST
         while not two.cancelled:
@@ -105,7 +105,7 @@
 
 
 def test_a_request_that_gets_no_answer_in_time_ends_and_tells_the_peer() -> None:
-    """The sender learns that the time is up, the peer's handler is cancelled."""
+    """The sender gets TIMEOUT and the peer's handler is cancelled."""
 
     async def check(one: _Daemon, two: _Daemon) -> None:
         wanted = ConfigWanted(99)
@@ -119,7 +119,7 @@
 
 
 def test_without_a_link_nothing_is_sent() -> None:
-    """The failure says that nothing left this process."""
+    """Without a link the request fails as NOT_SENT."""
 
     async def check(one: _Daemon, _two: _Daemon) -> None:
         failure = await one.links.request(
@@ -131,7 +131,7 @@
 
 
 def test_notes_go_out_at_once_when_told() -> None:
-    """A change of state does not wait for the next round."""
+    """`tell_all` sends a note without waiting for the next round."""
 
     async def check(one: _Daemon, two: _Daemon) -> None:
         while not two.notes:
@@ -146,14 +146,14 @@
 
 
 def test_a_link_is_opened_again() -> None:
-    """After the peer has closed it, the link comes back by itself."""
+    """A link is reconnected after the peer has closed it."""
 
     async def check(one: _Daemon, two: _Daemon) -> None:
         for link in tuple(two.links._accepted):
             link.abort()
         while one.links.up(two.address):
             await asyncio.sleep(0.01)
-        await one.linked(two)
+        await one.connect(two)
 
     _run(check)
 
