--- a/damaskbay/adapters/caller_http/__init__.py
+++ b/damaskbay/adapters/caller_http/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter for callers: HTTP by `waitress`."""
+"""HTTP listener for callers, a WSGI application served by `waitress`."""
--- a/damaskbay/adapters/caller_http/application.py
+++ b/damaskbay/adapters/caller_http/application.py
@@ -1,4 +1,4 @@
-"""The WSGI application that callers and backend servers speak to."""
+"""WSGI application for calls from callers and nested calls from backend servers."""
 
 import http
 import json
@@ -9,9 +9,9 @@
 from urllib.parse import parse_qs
 
 from damaskbay.adapters.caller_http.const import (
-    ISSUE_PATH,
-    MAX_ISSUED_IDS,
-    OWN_PREFIX,
+    INTERNAL_PATH_PREFIX,
+    MAX_REQUEST_IDS,
+    REQUEST_IDS_PATH,
 )
 from damaskbay.adapters.caller_http.exceptions import BadHeaderError
 from damaskbay.adapters.caller_http.hang_up import HangUpWatcher
@@ -29,27 +29,29 @@
 StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 Environ = dict[str, Any]
 
-_WITHOUT_BODY = frozenset({204, 304})
+_STATUSES_WITHOUT_BODY = frozenset({204, 304})
 _REFUSAL_HEADERS = frozenset(
     name.lower() for name in (HEADER_OUTCOME, HEADER_REASON, HEADER_CALL_ID)
 )
 
 
 class CallerApplication:
-    """Reads a call, has it served, writes the answer or the refusal."""
+    """Passes calls to the service and writes its response or refusal."""
 
-    def __init__(self, service: CallerService, hang_ups: HangUpWatcher) -> None:
+    def __init__(
+        self, service: CallerService, disconnect_watcher: HangUpWatcher
+    ) -> None:
         self._service = service
-        self._hang_ups = hang_ups
+        self._disconnect_watcher = disconnect_watcher
 
     def __call__(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
         """Serve one request (PEP 3333)."""
         try:
-            if environ["PATH_INFO"].startswith(OWN_PREFIX):
-                return self._own_path(environ, start_response)
-            return self._call(environ, start_response)
+            if environ["PATH_INFO"].startswith(INTERNAL_PATH_PREFIX):
+                return self._serve_internal_path(environ, start_response)
+            return self._serve_call(environ, start_response)
         except BadHeaderError as error:
             refusal = not_run(Reason.BAD_REQUEST, detail=str(error))
             return _write_refusal(refusal, "", environ, start_response)
@@ -58,19 +60,21 @@
             refusal = unknown(Reason.INTERNAL_ERROR)
             return _write_refusal(refusal, "", environ, start_response)
 
-    def _call(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
+    def _serve_call(
+        self, environ: Environ, start_response: StartResponse
+    ) -> Iterable[bytes]:
         call = read_call(environ)
         cancellation = Cancellation()
-        with self._hang_ups.watch(
+        with self._disconnect_watcher.watch(
             environ["waitress.client_disconnected"], cancellation
         ):
             served = self._service.serve(call, cancellation)
-        return _write(served, environ, start_response)
+        return _write_result(served, environ, start_response)
 
-    def _own_path(
+    def _serve_internal_path(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
-        if environ["PATH_INFO"] != ISSUE_PATH:
+        if environ["PATH_INFO"] != REQUEST_IDS_PATH:
             refusal = not_run(Reason.NO_ROUTE)
             return _write_refusal(refusal, "", environ, start_response)
         if environ["REQUEST_METHOD"] != "POST":
@@ -78,10 +82,13 @@
             return _write_refusal(refusal, "", environ, start_response)
         count = parse_qs(environ.get("QUERY_STRING", "")).get("count", ["1"])[0]
         if not (count.isascii() and count.isdigit() and 0 < len(count) < 6):
-            refusal = not_run(Reason.BAD_REQUEST, detail="count: a whole number")
+            refusal = not_run(
+                Reason.BAD_REQUEST,
+                detail="count must be a whole number of at most 5 digits",
+            )
             return _write_refusal(refusal, "", environ, start_response)
         issued = self._service.issue_request_ids(
-            max(1, min(int(count), MAX_ISSUED_IDS))
+            max(1, min(int(count), MAX_REQUEST_IDS))
         )
         document = {
             "request_ids": list(issued.request_ids),
@@ -90,26 +97,28 @@
         return _write_json(200, document, (), environ, start_response)
 
 
-def _write(
+def _write_result(
     served: ServedCall, environ: Environ, start_response: StartResponse
 ) -> Iterable[bytes]:
     result = served.result.result
     if isinstance(result, Refusal):
         return _write_refusal(result, served.call_id, environ, start_response)
-    return _write_answer(result, served.call_id, environ, start_response)
+    return _write_response(result, served.call_id, environ, start_response)
 
 
-def _write_answer(
-    answer: Answer, call_id: str, environ: Environ, start_response: StartResponse
+def _write_response(
+    response: Answer, call_id: str, environ: Environ, start_response: StartResponse
 ) -> Iterable[bytes]:
-    headers = list(without(without_hop_by_hop(answer.headers), _REFUSAL_HEADERS))
+    headers = list(without(without_hop_by_hop(response.headers), _REFUSAL_HEADERS))
     headers.append((HEADER_CALL_ID, call_id))
-    bodiless = answer.status in _WITHOUT_BODY or environ["REQUEST_METHOD"] == "HEAD"
+    no_body = (
+        response.status in _STATUSES_WITHOUT_BODY or environ["REQUEST_METHOD"] == "HEAD"
+    )
     names = {name.lower() for name, _ in headers}
-    if "content-length" not in names and not bodiless:
-        headers.append(("Content-Length", str(len(answer.body))))
-    start_response(_status_line(answer.status), headers)
-    return [] if bodiless else [answer.body]
+    if "content-length" not in names and not no_body:
+        headers.append(("Content-Length", str(len(response.body))))
+    start_response(_status_line(response.status), headers)
+    return [] if no_body else [response.body]
 
 
 def _write_refusal(
@@ -137,7 +146,7 @@
 def _write_json(
     status: int,
     document: dict[str, Any],
-    extra: Headers,
+    extra_headers: Headers,
     environ: Environ,
     start_response: StartResponse,
 ) -> Iterable[bytes]:
@@ -145,7 +154,7 @@
     headers = [
         ("Content-Type", "application/json"),
         ("Content-Length", str(len(body))),
-        *extra,
+        *extra_headers,
     ]
     start_response(_status_line(status), headers)
     return [] if environ["REQUEST_METHOD"] == "HEAD" else [body]
--- a/damaskbay/adapters/caller_http/exceptions.py
+++ b/damaskbay/adapters/caller_http/exceptions.py
@@ -1,8 +1,8 @@
-"""Errors of the caller-facing edge; they do not leave it."""
+"""Errors internal to the caller listener."""
 
 
 class BadHeaderError(ValueError):
-    """A header of ours has a value that can't be read."""
+    """A Damaskbay header has an invalid value."""
 
     def __init__(self, header: str, expected: str) -> None:
         super().__init__(f"header {header}: expected {expected}")
--- a/damaskbay/adapters/caller_http/hang_up.py
+++ b/damaskbay/adapters/caller_http/hang_up.py
@@ -1,44 +1,44 @@
-"""Notice callers that hang up while their call runs, and cancel it."""
+"""Cancellation of calls whose callers disconnect."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass
 
-from damaskbay.adapters.caller_http.const import HANG_UP_TICK_S
+from damaskbay.adapters.caller_http.const import DISCONNECT_CHECK_INTERVAL_S
 from damaskbay.helpers.cancellation import Cancellation
 from damaskbay.helpers.task import Task
 
 
 @dataclass(frozen=True, slots=True, eq=False)
-class _Watched:
-    is_gone: Callable[[], bool]
+class _WatchedCall:
+    is_disconnected: Callable[[], bool]
     cancellation: Cancellation
 
 
 class HangUpWatcher(Task):
-    """Asks each running call's connection at every tick."""
+    """Task that polls the connections of all running calls."""
 
     def __init__(self) -> None:
-        super().__init__("hang-up", tick_s=HANG_UP_TICK_S)
-        self._watched: set[_Watched] = set()
+        super().__init__("hang-up", tick_s=DISCONNECT_CHECK_INTERVAL_S)
+        self._calls: set[_WatchedCall] = set()
 
     @contextmanager
     def watch(
-        self, is_gone: Callable[[], bool], cancellation: Cancellation
+        self, is_disconnected: Callable[[], bool], cancellation: Cancellation
     ) -> Iterator[None]:
-        """Cancel when the caller is gone before the block ends."""
-        watched = _Watched(is_gone, cancellation)
-        self._watched.add(watched)
+        """Cancel the call if the caller disconnects before the block ends."""
+        call = _WatchedCall(is_disconnected, cancellation)
+        self._calls.add(call)
         try:
             yield
         finally:
-            self._watched.discard(watched)
+            self._calls.discard(call)
 
     def handle(self, message: object, now: float) -> None:
-        """No messages: calls come and go by `watch`."""
+        """Ignore all messages; `watch` registers the calls."""
 
     def tick(self, now: float) -> None:
-        """Cancel the calls whose callers are gone."""
-        for watched in tuple(self._watched):
-            if watched.is_gone():
-                watched.cancellation.cancel()
+        """Cancel the calls whose callers have disconnected."""
+        for call in tuple(self._calls):
+            if call.is_disconnected():
+                call.cancellation.cancel()
--- a/damaskbay/adapters/caller_http/reading.py
+++ b/damaskbay/adapters/caller_http/reading.py
@@ -1,11 +1,11 @@
-"""Turn a WSGI environment into a call."""
+"""Parsing of calls from WSGI environments."""
 
 from typing import Any
 
 from damaskbay.adapters.caller_http.const import (
-    FALSE_WORDS,
+    FALSE_VALUES,
     MAX_DEADLINE_MS,
-    TRUE_WORDS,
+    TRUE_VALUES,
 )
 from damaskbay.adapters.caller_http.exceptions import BadHeaderError
 from damaskbay.const import (
@@ -21,30 +21,30 @@
 
 
 def read_call(environ: dict[str, Any]) -> IncomingCall:
-    """Return the call; raise BadHeaderError for a header that can't be read."""
+    """Return the call; raise BadHeaderError if a Damaskbay header is invalid."""
     request = Request(
         method=environ["REQUEST_METHOD"],
         host=environ.get("HTTP_HOST", ""),
-        target=_target(environ["REQUEST_URI"]),
+        target=_path_and_query(environ["REQUEST_URI"]),
         headers=without_hop_by_hop(_headers(environ)),
         body=environ["wsgi.input"].read(),
     )
     return IncomingCall(
         request=request,
-        key=_own(environ, HEADER_KEY),
-        call_token=_own(environ, HEADER_CALL_TOKEN),
-        deadline_s=_deadline_s(_own(environ, HEADER_DEADLINE)),
-        request_id=_own(environ, HEADER_REQUEST_ID),
-        idempotent=_mark(_own(environ, HEADER_IDEMPOTENT)),
+        key=_header_value(environ, HEADER_KEY),
+        call_token=_header_value(environ, HEADER_CALL_TOKEN),
+        deadline_s=_parse_deadline_s(_header_value(environ, HEADER_DEADLINE)),
+        request_id=_header_value(environ, HEADER_REQUEST_ID),
+        idempotent=_parse_bool(_header_value(environ, HEADER_IDEMPOTENT)),
     )
 
 
-def _target(uri: str) -> str:
-    """Return path and query, also of a request line in absolute form."""
+def _path_and_query(uri: str) -> str:
+    """Return path and query of a request target in origin or absolute form."""
     if uri.startswith("/"):
         return uri
-    _, mark, rest = uri.partition("://")
-    if not mark:
+    _, separator, rest = uri.partition("://")
+    if not separator:
         return "/" + uri.lstrip("/")
     _, slash, path = rest.partition("/")
     return slash + path or "/"
@@ -67,12 +67,12 @@
     return name.replace("_", "-").title()
 
 
-def _own(environ: dict[str, Any], name: str) -> str | None:
+def _header_value(environ: dict[str, Any], name: str) -> str | None:
     value = environ.get("HTTP_" + name.upper().replace("-", "_"))
     return str(value).strip() if value is not None else None
 
 
-def _deadline_s(value: str | None) -> float | None:
+def _parse_deadline_s(value: str | None) -> float | None:
     if value is None:
         return None
     if not (value.isascii() and value.isdigit() and len(value) <= 10):
@@ -80,12 +80,12 @@
     return min(int(value), MAX_DEADLINE_MS) / 1000
 
 
-def _mark(value: str | None) -> bool | None:
+def _parse_bool(value: str | None) -> bool | None:
     if value is None:
         return None
     word = value.lower()
-    if word in TRUE_WORDS:
+    if word in TRUE_VALUES:
         return True
-    if word in FALSE_WORDS:
+    if word in FALSE_VALUES:
         return False
     raise BadHeaderError(HEADER_IDEMPOTENT, "true or false")
--- a/damaskbay/adapters/gossip_udp/__init__.py
+++ b/damaskbay/adapters/gossip_udp/__init__.py
@@ -1,4 +1,4 @@
-"""Membership datagrams over UDP, proven by a shared secret."""
+"""Membership datagrams over UDP, authenticated by a shared secret."""
 
 from damaskbay.adapters.gossip_udp.client import GossipSocket
 from damaskbay.adapters.gossip_udp.codec import PacketCodec
--- a/damaskbay/adapters/gossip_udp/client.py
+++ b/damaskbay/adapters/gossip_udp/client.py
@@ -1,4 +1,4 @@
-"""The UDP socket of one daemon's membership."""
+"""UDP socket for the membership protocol."""
 
 import logging
 import socket
@@ -9,7 +9,7 @@
 from typing import Self
 
 from damaskbay.adapters.gossip_udp.codec import PacketCodec
-from damaskbay.adapters.gossip_udp.const import MAX_DATAGRAM_BYTES, RECEIVE_WAIT_S
+from damaskbay.adapters.gossip_udp.const import MAX_DATAGRAM_BYTES, RECEIVE_TIMEOUT_S
 from damaskbay.adapters.gossip_udp.exceptions import DatagramProblem
 from damaskbay.core.membership.packets import Outgoing, Packet
 from damaskbay.ports.peer import PeerAddress
@@ -19,9 +19,9 @@
 
 class GossipSocket:
     """
-    Sends packets and calls back with each proven one, on its own thread.
+    Sends packets and calls `receive` with each valid one, on a thread of its own.
 
-    `send` belongs to one thread. `dropped` counts datagrams by problem.
+    Call `send` from one thread only. `dropped` counts dropped datagrams by reason.
     """
 
     def __init__(
@@ -38,18 +38,18 @@
         self._closing = False
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind((address.host, address.port))
-        self._socket.settimeout(RECEIVE_WAIT_S)
+        self._socket.settimeout(RECEIVE_TIMEOUT_S)
         self._executor = ThreadPoolExecutor(1, thread_name_prefix="gossip")
-        self._running: Future[None] | None = None
+        self._receiver: Future[None] | None = None
 
     @property
     def port(self) -> int:
-        """Return the bound port."""
+        """Return the local UDP port."""
         port: int = self._socket.getsockname()[1]
         return port
 
     def __enter__(self) -> Self:
-        self._running = self._executor.submit(self._run)
+        self._receiver = self._executor.submit(self._receive_datagrams)
         return self
 
     def __exit__(
@@ -63,7 +63,7 @@
         self._socket.close()
 
     def send(self, outgoing: Outgoing) -> None:
-        """Send one packet, best effort."""
+        """Send a packet, best effort."""
         data = self._codec.encode(outgoing.packet)
         address = outgoing.address
         try:
@@ -71,7 +71,7 @@
         except OSError as error:
             _LOGGER.debug("gossip: datagram to %s not sent: %s.", address, error)
 
-    def _run(self) -> None:
+    def _receive_datagrams(self) -> None:
         while not self._closing:
             try:
                 data = self._socket.recv(MAX_DATAGRAM_BYTES + 1)
@@ -81,9 +81,9 @@
                 _LOGGER.debug("gossip: receive failed: %s.", error)
                 continue
             self.received_bytes += len(data)
-            self._take(data)
+            self._handle_datagram(data)
 
-    def _take(self, data: bytes) -> None:
+    def _handle_datagram(self, data: bytes) -> None:
         packet = self._codec.decode(data)
         if isinstance(packet, DatagramProblem):
             self.dropped[packet] += 1
--- a/damaskbay/adapters/gossip_udp/codec.py
+++ b/damaskbay/adapters/gossip_udp/codec.py
@@ -1,4 +1,4 @@
-"""Packets as bytes: msgpack behind a keyed digest, with a sequence number."""
+"""Encoding of packets: a MAC, then msgpack of a sequence number and the values."""
 
 import hmac
 from typing import Any
@@ -22,18 +22,18 @@
 
 class PacketCodec:
     """
-    Encodes own packets and decodes those of others, each at most once.
+    Encodes packets to send; authenticates and decodes received ones, dropping replays.
 
-    The first of `secrets` proves own packets, each of them is accepted.
+    Sent packets use the first of `secrets`; received ones may use any of them.
     """
 
     def __init__(self, *secrets: bytes) -> None:
-        self._keys = [hmac.digest(item, MAC_CONTEXT, "sha256") for item in secrets]
+        self._keys = [hmac.digest(secret, MAC_CONTEXT, "sha256") for secret in secrets]
         self._sequence = 0
         self._replays = ReplayFilter()
 
     def encode(self, packet: Packet) -> bytes:
-        """Return the datagram; news that do not fit are left out."""
+        """Return the datagram; the last updates are left out if they do not fit."""
         updates = packet.updates
         while True:
             data = self._encode(packet, updates)
@@ -42,7 +42,7 @@
             updates = updates[:-1]
 
     def decode(self, data: bytes) -> Packet | DatagramProblem:
-        """Return the packet, or why the datagram is dropped."""
+        """Return the packet or the reason why the datagram is dropped."""
         if len(data) > MAX_DATAGRAM_BYTES:
             return DatagramProblem.TOO_LARGE
         mac, body = data[:MAC_BYTES], data[MAC_BYTES:]
@@ -50,19 +50,19 @@
             return DatagramProblem.UNPROVEN
         try:
             sequence, values = msgpack.unpackb(body)
-            packet = _packet(values)
+            packet = _decode_values(values)
         except (ValueError, TypeError, msgpack.exceptions.UnpackException):
             return DatagramProblem.MALFORMED
         sender = packet.sender
         if not isinstance(sequence, int):
             return DatagramProblem.MALFORMED
-        if not self._replays.fresh(sender.instance, sender.incarnation, sequence):
+        if not self._replays.accept(sender.instance, sender.incarnation, sequence):
             return DatagramProblem.REPLAYED
         return packet
 
     def _encode(self, packet: Packet, updates: tuple[MemberEntry, ...]) -> bytes:
         self._sequence += 1
-        body: bytes = msgpack.packb([self._sequence, _values(packet, updates)])
+        body: bytes = msgpack.packb([self._sequence, _encode_values(packet, updates)])
         return _mac(self._keys[0], body) + body
 
 
@@ -70,7 +70,7 @@
     return hmac.digest(key, body, "sha256")[:MAC_BYTES]
 
 
-def _values(packet: Packet, updates: tuple[MemberEntry, ...]) -> list[Any]:
+def _encode_values(packet: Packet, updates: tuple[MemberEntry, ...]) -> list[Any]:
     entries = [entry_values(entry) for entry in (packet.sender, *updates)]
     match packet:
         case Ping():
@@ -84,7 +84,7 @@
             return [_RUMOR, entries]
 
 
-def _packet(values: Any) -> Packet:
+def _decode_values(values: Any) -> Packet:
     kind, rows, *rest = values
     sender, *updates = (entry_from(row) for row in rows)
     match kind, rest:
@@ -96,4 +96,4 @@
             return Ack(sender, probe, tuple(updates))
         case 3, []:
             return Rumor(sender, tuple(updates))
-    raise ValueError("no packet of a known kind")
+    raise ValueError("unknown packet kind or invalid values")
--- a/damaskbay/adapters/gossip_udp/const.py
+++ b/damaskbay/adapters/gossip_udp/const.py
@@ -1,8 +1,8 @@
-"""Bounds of the datagrams."""
+"""Limits and timeouts of membership datagrams."""
 
 MAX_DATAGRAM_BYTES = 1_400
 MAC_BYTES = 16
 MAC_CONTEXT = b"damaskbay gossip 1"
-RECEIVE_WAIT_S = 0.2
-WINDOW_DATAGRAMS = 64
-MAX_SENDERS = 8_000
+RECEIVE_TIMEOUT_S = 0.2
+REPLAY_WINDOW_DATAGRAMS = 64
+MAX_TRACKED_SENDERS = 8_000
--- a/damaskbay/adapters/gossip_udp/exceptions.py
+++ b/damaskbay/adapters/gossip_udp/exceptions.py
@@ -1,10 +1,10 @@
-"""Why a datagram was not taken, as sentinel values."""
+"""Reasons for which datagrams are dropped, as sentinel values."""
 
 from enum import Enum
 
 
 class DatagramProblem(Enum):
-    """A datagram that is dropped."""
+    """Reason why a datagram is dropped."""
 
     TOO_LARGE = "too_large"
     UNPROVEN = "unproven"
--- a/damaskbay/adapters/gossip_udp/replay.py
+++ b/damaskbay/adapters/gossip_udp/replay.py
@@ -1,45 +1,48 @@
-"""Drops datagrams that were taken before."""
+"""Replay protection for datagrams."""
 
 from dataclasses import dataclass
 
-from damaskbay.adapters.gossip_udp.const import MAX_SENDERS, WINDOW_DATAGRAMS
+from damaskbay.adapters.gossip_udp.const import (
+    MAX_TRACKED_SENDERS,
+    REPLAY_WINDOW_DATAGRAMS,
+)
 
 
 @dataclass(slots=True)
-class _Window:
+class _ReplayWindow:
     incarnation: int
     highest: int
-    seen: int
+    received_bits: int
 
 
 class ReplayFilter:
-    """Remembers for each sender which of its last datagrams came."""
+    """Keeps a sliding window of received sequence numbers for each sender."""
 
     def __init__(self) -> None:
-        self._by_instance: dict[str, _Window] = {}
+        self._windows_by_instance: dict[str, _ReplayWindow] = {}
 
-    def fresh(self, instance: str, incarnation: int, sequence: int) -> bool:
-        """Tell whether a proven datagram was not taken before, and remember it."""
-        window = self._by_instance.get(instance)
+    def accept(self, instance: str, incarnation: int, sequence: int) -> bool:
+        """Record an authenticated datagram; return False for a replay or an old one."""
+        window = self._windows_by_instance.get(instance)
         if window is None or incarnation > window.incarnation:
-            self._remember(instance, _Window(incarnation, sequence, 1))
+            self._add_window(instance, _ReplayWindow(incarnation, sequence, 1))
             return True
         if incarnation < window.incarnation:
             return False
         if sequence > window.highest:
-            ahead = min(sequence - window.highest, WINDOW_DATAGRAMS)
-            mask = (1 << WINDOW_DATAGRAMS) - 1
-            window.seen = (window.seen << ahead | 1) & mask
+            ahead = min(sequence - window.highest, REPLAY_WINDOW_DATAGRAMS)
+            mask = (1 << REPLAY_WINDOW_DATAGRAMS) - 1
+            window.received_bits = (window.received_bits << ahead | 1) & mask
             window.highest = sequence
             return True
         behind = window.highest - sequence
-        if behind >= WINDOW_DATAGRAMS or window.seen >> behind & 1:
+        if behind >= REPLAY_WINDOW_DATAGRAMS or window.received_bits >> behind & 1:
             return False
-        window.seen |= 1 << behind
+        window.received_bits |= 1 << behind
         return True
 
-    def _remember(self, instance: str, window: _Window) -> None:
-        self._by_instance.pop(instance, None)
-        if len(self._by_instance) >= MAX_SENDERS:
-            del self._by_instance[next(iter(self._by_instance))]
-        self._by_instance[instance] = window
+    def _add_window(self, instance: str, window: _ReplayWindow) -> None:
+        self._windows_by_instance.pop(instance, None)
+        if len(self._windows_by_instance) >= MAX_TRACKED_SENDERS:
+            del self._windows_by_instance[next(iter(self._windows_by_instance))]
+        self._windows_by_instance[instance] = window
--- a/damaskbay/adapters/operator_http/__init__.py
+++ b/damaskbay/adapters/operator_http/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter for operators: metrics, health, status, explanations, announcements."""
+"""HTTP listener for operators: metrics, health, status, explain and announcements."""
--- a/damaskbay/adapters/operator_http/application.py
+++ b/damaskbay/adapters/operator_http/application.py
@@ -1,4 +1,4 @@
-"""The WSGI application of the operator listener."""
+"""WSGI application of the operator listener."""
 
 import http
 import json
@@ -26,7 +26,7 @@
 
 
 class Announcement(BaseModel):
-    """What a backend server says of itself."""
+    """State, slots and load that a backend server announces."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -36,7 +36,7 @@
 
 
 class OperatorApplication:
-    """Answers operators and takes the local backend server's announcements."""
+    """Serves requests of operators and announcements of the local backend server."""
 
     def __init__(self, service: OperatorService) -> None:
         self._service = service
@@ -68,16 +68,16 @@
             return self._explain(environ)
         if path == PATH_ANNOUNCE:
             return self._announce(environ)
-        return _json(404, {"error": "no such path"})
+        return _json(404, {"error": "unknown path"})
 
     def _explain(self, environ: Environ) -> tuple[int, str, bytes]:
         query = parse_qs(environ.get("QUERY_STRING", ""))
         call_id = query.get("call_id", [None])[0]
         workspace = query.get("workspace", [None])[0]
         if (call_id is None) == (workspace is None):
-            return _json(400, {"error": "give call_id or workspace"})
-        found = self._service.explain(call_id=call_id, workspace=workspace)
-        return _json(200, found)
+            return _json(400, {"error": "give either call_id or workspace"})
+        explanation = self._service.explain(call_id=call_id, workspace=workspace)
+        return _json(200, explanation)
 
     def _announce(self, environ: Environ) -> tuple[int, str, bytes]:
         if environ["REQUEST_METHOD"] != "POST":
@@ -86,9 +86,9 @@
             data = environ["wsgi.input"].read()
             announcement = Announcement.model_validate_json(data)
         except ValidationError as error:
-            found = error.errors(include_url=False, include_input=False)
-            lines = [f"{'.'.join(map(str, e['loc']))}: {e['msg']}" for e in found]
-            return _json(400, {"error": "announcement", "problems": lines})
+            errors = error.errors(include_url=False, include_input=False)
+            problems = [f"{'.'.join(map(str, e['loc']))}: {e['msg']}" for e in errors]
+            return _json(400, {"error": "announcement", "problems": problems})
         self._service.announce(
             announcement.state, announcement.slots, announcement.load
         )
--- a/damaskbay/adapters/operator_http/const.py
+++ b/damaskbay/adapters/operator_http/const.py
@@ -1,4 +1,4 @@
-"""Paths and sizes of the operator listener."""
+"""Paths and limits of the operator listener."""
 
 from typing import Final
 
--- a/damaskbay/adapters/operator_http/exceptions.py
+++ b/damaskbay/adapters/operator_http/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the operator listener; they do not leave it."""
+"""Errors internal to the operator listener."""
 
 
 class OperatorHttpError(Exception):
--- a/damaskbay/adapters/platform_http/__init__.py
+++ b/damaskbay/adapters/platform_http/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's key-value service over HTTP."""
+"""HTTP client of the platform's key-value service."""
--- a/damaskbay/adapters/platform_http/client.py
+++ b/damaskbay/adapters/platform_http/client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's key-value service."""
+"""HTTP client of the platform's key-value service."""
 
 from collections.abc import Callable, Mapping
 from http.client import HTTPException
@@ -10,9 +10,9 @@
 
 from damaskbay.adapters.platform_http import const
 from damaskbay.adapters.platform_http.connections import (
-    Connections,
-    RawAnswer,
-    RawCall,
+    ConnectionPool,
+    RawRequest,
+    RawResponse,
 )
 from damaskbay.adapters.platform_http.exceptions import BadAnswerError, NotSentError
 from damaskbay.adapters.platform_http.models import ListModel
@@ -25,9 +25,9 @@
 
 class HttpPlatform:
     """
-    Implements ports.platform.Platform over HTTP; safe from any thread.
+    HTTP implementation of ports.platform.Platform. Thread-safe.
 
-    `host` is an IP number. `name` tells the service which client calls.
+    `host` is an IP address. `name` identifies this client to the service.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
     ) -> None:
         self._clock = clock
         self._headers = {const.HEADER_CLIENT: name} if name else {}
-        self._connections = Connections(host, port, clock)
+        self._pool = ConnectionPool(host, port, clock)
 
     def __enter__(self) -> Self:
         return self
@@ -51,30 +51,30 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        self._connections.close()
+        self._pool.close()
 
     def get(self, key: str, *, timeout_s: float) -> Entry | PlatformFailure | None:
-        """Return the entry, or None where there is none."""
-        answer = self._call(
+        """Return the entry, or None if there is none."""
+        response = self._request(
             "GET", const.PATH_ENTRY, {const.QUERY_KEY: key}, timeout_s=timeout_s
         )
-        return _entry_of(key, answer, PlatformProblem.UNAVAILABLE)
+        return _parse_entry(key, response, PlatformProblem.UNAVAILABLE)
 
     def list(
         self, prefix: str, *, timeout_s: float
     ) -> tuple[Entry, ...] | PlatformFailure:
-        """Return all entries whose key starts with the prefix, in key order."""
-        answer = self._call(
+        """Return all entries whose keys start with the prefix, in key order."""
+        response = self._request(
             "GET", const.PATH_LIST, {const.QUERY_PREFIX: prefix}, timeout_s=timeout_s
         )
-        if isinstance(answer, PlatformFailure):
-            return answer
-        if answer.status != const.STATUS_OK:
-            return _failure_of(answer, PlatformProblem.UNAVAILABLE)
+        if isinstance(response, PlatformFailure):
+            return response
+        if response.status != const.STATUS_OK:
+            return _parse_failure(response, PlatformProblem.UNAVAILABLE)
         try:
-            model = ListModel.model_validate_json(answer.body)
+            model = ListModel.model_validate_json(response.body)
         except ValidationError as error:
-            detail = f"bad list: {error.error_count()} faults"
+            detail = f"invalid list: {error.error_count()} errors"
             return PlatformFailure(PlatformProblem.UNAVAILABLE, detail)
         return tuple(
             Entry(item.key, item.value, item.revision) for item in model.entries
@@ -89,7 +89,7 @@
         lease_s: float | None = None,
         timeout_s: float,
     ) -> Entry | Conflict | PlatformFailure:
-        """Write if the entry's revision is the expected one; 0 means absent."""
+        """Write if the entry has the expected revision; 0 means that it is absent."""
         if len(value) > MAX_PLATFORM_VALUE_BYTES:
             detail = f"{len(value)} bytes exceed {MAX_PLATFORM_VALUE_BYTES}"
             return PlatformFailure(PlatformProblem.VALUE_TOO_LARGE, detail)
@@ -99,44 +99,49 @@
         }
         if lease_s is not None:
             query[const.QUERY_LEASE] = lease_s
-        answer = self._call("PUT", const.PATH_ENTRY, query, value, timeout_s=timeout_s)
-        if isinstance(answer, PlatformFailure):
-            return answer
-        if answer.status != const.STATUS_OK:
-            return _conflict_of(key, answer)
-        revision = _revision_of(answer)
+        response = self._request(
+            "PUT", const.PATH_ENTRY, query, value, timeout_s=timeout_s
+        )
+        if isinstance(response, PlatformFailure):
+            return response
+        if response.status != const.STATUS_OK:
+            return _parse_conflict(key, response)
+        revision = _parse_revision(response)
         if revision is None:
-            return _lost("the answer names no revision")
+            return _reply_lost("response has no revision")
         return Entry(key, value, revision)
 
     def delete(
         self, key: str, *, expected_revision: int, timeout_s: float
     ) -> Entry | Conflict | PlatformFailure | None:
-        """Delete if the entry's revision is the expected one."""
+        """Delete the entry if it has the expected revision; None if it is absent."""
         query: Query = {const.QUERY_KEY: key, const.QUERY_EXPECTED: expected_revision}
-        answer = self._call("DELETE", const.PATH_ENTRY, query, timeout_s=timeout_s)
-        if isinstance(answer, RawAnswer) and answer.status == const.STATUS_CONFLICT:
-            return _conflict_of(key, answer)
-        return _entry_of(key, answer, PlatformProblem.ANSWER_LOST)
+        response = self._request("DELETE", const.PATH_ENTRY, query, timeout_s=timeout_s)
+        if (
+            isinstance(response, RawResponse)
+            and response.status == const.STATUS_CONFLICT
+        ):
+            return _parse_conflict(key, response)
+        return _parse_entry(key, response, PlatformProblem.ANSWER_LOST)
 
     def watch(
         self, key: str, *, after_revision: int, timeout_s: float
     ) -> Entry | PlatformFailure | None:
-        """Wait until the entry's revision exceeds the given one; None: time is up."""
+        """Wait for an entry with a higher revision; return None on timeout."""
         wait_s = max(timeout_s - const.WATCH_MARGIN_S, timeout_s / 2)
         query: Query = {
             const.QUERY_KEY: key,
             const.QUERY_AFTER: after_revision,
             const.QUERY_TIMEOUT: wait_s,
         }
-        answer = self._call("GET", const.PATH_WATCH, query, timeout_s=timeout_s)
-        entry = _entry_of(key, answer, PlatformProblem.UNAVAILABLE)
+        response = self._request("GET", const.PATH_WATCH, query, timeout_s=timeout_s)
+        entry = _parse_entry(key, response, PlatformProblem.UNAVAILABLE)
         if isinstance(entry, Entry) and entry.revision <= after_revision:
-            detail = f"the watch answered the old revision {entry.revision}"
+            detail = f"watch returned the old revision {entry.revision}"
             return PlatformFailure(PlatformProblem.UNAVAILABLE, detail)
         return entry
 
-    def _call(
+    def _request(
         self,
         method: str,
         path: str,
@@ -144,69 +149,69 @@
         body: bytes | None = None,
         *,
         timeout_s: float,
-    ) -> RawAnswer | PlatformFailure:
-        call = RawCall(method, f"{path}?{urlencode(query)}", self._headers, body)
+    ) -> RawResponse | PlatformFailure:
+        request = RawRequest(method, f"{path}?{urlencode(query)}", self._headers, body)
         deadline = self._clock() + timeout_s
         try:
-            return self._connections.call(call, deadline)
+            return self._pool.send(request, deadline)
         except NotSentError as error:
             return PlatformFailure(PlatformProblem.UNAVAILABLE, str(error))
         except (OSError, HTTPException, ValueError, BadAnswerError) as error:
             detail = f"{type(error).__name__}: {error}"
             if method == "GET":
                 return PlatformFailure(PlatformProblem.UNAVAILABLE, detail)
-            return _lost(detail)
+            return _reply_lost(detail)
 
 
-def _entry_of(
-    key: str, answer: RawAnswer | PlatformFailure, problem: PlatformProblem
+def _parse_entry(
+    key: str, response: RawResponse | PlatformFailure, problem: PlatformProblem
 ) -> Entry | PlatformFailure | None:
-    """Return the entry; `problem` is what an unknown answer means for this call."""
-    if isinstance(answer, PlatformFailure):
-        return answer
-    if _is_absent(answer):
+    """Return the entry, or a failure; `problem` applies to unexpected responses."""
+    if isinstance(response, PlatformFailure):
+        return response
+    if _is_absent(response):
         return None
-    if answer.status != const.STATUS_OK:
-        return _failure_of(answer, problem)
-    revision = _revision_of(answer)
+    if response.status != const.STATUS_OK:
+        return _parse_failure(response, problem)
+    revision = _parse_revision(response)
     if revision is None:
-        return PlatformFailure(problem, "the answer names no revision")
-    return Entry(key, answer.body, revision)
+        return PlatformFailure(problem, "response has no revision")
+    return Entry(key, response.body, revision)
 
 
-def _is_absent(answer: RawAnswer) -> bool:
-    marked = const.HEADER_ABSENT.lower() in answer.headers
-    return marked and answer.status == const.STATUS_NOTHING
+def _is_absent(response: RawResponse) -> bool:
+    marked = const.HEADER_ABSENT.lower() in response.headers
+    return marked and response.status == const.STATUS_NOTHING
 
 
-def _conflict_of(key: str, answer: RawAnswer) -> Conflict | PlatformFailure:
-    if answer.status != const.STATUS_CONFLICT:
-        return _failure_of(answer, PlatformProblem.ANSWER_LOST)
-    if const.HEADER_REVISION.lower() not in answer.headers:
+def _parse_conflict(key: str, response: RawResponse) -> Conflict | PlatformFailure:
+    if response.status != const.STATUS_CONFLICT:
+        return _parse_failure(response, PlatformProblem.ANSWER_LOST)
+    if const.HEADER_REVISION.lower() not in response.headers:
         return Conflict(None)
-    revision = _revision_of(answer)
+    revision = _parse_revision(response)
     if revision is None:
-        return _lost("the conflict names no revision")
-    return Conflict(Entry(key, answer.body, revision))
+        return _reply_lost("conflict response has no revision")
+    return Conflict(Entry(key, response.body, revision))
 
 
-def _failure_of(answer: RawAnswer, problem: PlatformProblem) -> PlatformFailure:
-    detail = f"status {answer.status}"
-    if answer.status == const.STATUS_BUSY:
+def _parse_failure(response: RawResponse, problem: PlatformProblem) -> PlatformFailure:
+    detail = f"status {response.status}"
+    if response.status == const.STATUS_BUSY:
         return PlatformFailure(PlatformProblem.BUSY, detail)
-    if answer.status == const.STATUS_TOO_LARGE:
+    if response.status == const.STATUS_TOO_LARGE:
         return PlatformFailure(PlatformProblem.VALUE_TOO_LARGE, detail)
-    if const.HEADER_NO_EFFECT.lower() in answer.headers:
+    if const.HEADER_NO_EFFECT.lower() in response.headers:
         return PlatformFailure(PlatformProblem.UNAVAILABLE, detail)
     return PlatformFailure(problem, detail)
 
 
-def _revision_of(answer: RawAnswer) -> int | None:
-    text = answer.headers.get(const.HEADER_REVISION.lower(), "")
-    if not (text.isascii() and text.isdigit() and len(text) <= 18):
+def _parse_revision(response: RawResponse) -> int | None:
+    revision = response.headers.get(const.HEADER_REVISION.lower(), "")
+    if not (revision.isascii() and revision.isdigit() and len(revision) <= 18):
         return None
-    return int(text) or None
+    return int(revision) or None
 
 
-def _lost(detail: str) -> PlatformFailure:
+def _reply_lost(detail: str) -> PlatformFailure:
     return PlatformFailure(PlatformProblem.ANSWER_LOST, detail)
--- a/damaskbay/adapters/platform_http/connections.py
+++ b/damaskbay/adapters/platform_http/connections.py
@@ -1,4 +1,4 @@
-"""Kept-alive connections to the platform, replaced where they went silent."""
+"""Pool of kept-alive connections to the platform."""
 
 import select
 import socket
@@ -8,18 +8,18 @@
 from http.client import HTTPConnection, HTTPResponse
 
 from damaskbay.adapters.platform_http.const import (
-    MAX_ANSWER_BYTES,
-    MAX_CONNECT_S,
+    CONNECT_TIMEOUT_S,
     MAX_IDLE_CONNECTIONS,
     MAX_IDLE_S,
-    READ_BYTES,
+    MAX_RESPONSE_BYTES,
+    READ_CHUNK_BYTES,
 )
 from damaskbay.adapters.platform_http.exceptions import BadAnswerError, NotSentError
 
 
 @dataclass(frozen=True, slots=True)
-class RawAnswer:
-    """An HTTP answer, whole."""
+class RawResponse:
+    """A complete HTTP response."""
 
     status: int
     headers: dict[str, str]
@@ -27,8 +27,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RawCall:
-    """An HTTP request of the interface."""
+class RawRequest:
+    """An HTTP request to the platform."""
 
     method: str
     target: str
@@ -36,13 +36,12 @@
     body: bytes | None = None
 
 
-class Connections:
+class ConnectionPool:
     """
-    Sends calls over a few connections; safe from any thread.
+    Pool of connections to the platform. Thread-safe.
 
-    A connection carries one call at a time and belongs to that call. After a
-    time-out every idle connection is closed, since something on the way may
-    have lost track of them all.
+    A connection carries one request at a time. After a timeout all idle connections
+    are closed, since a device on the network path may have dropped their state too.
     """
 
     def __init__(self, host: str, port: int, clock: Callable[[], float]) -> None:
@@ -53,7 +52,7 @@
 
     @property
     def idle_count(self) -> int:
-        """Return how many connections wait for a call."""
+        """Return the number of idle connections."""
         return len(self._idle)
 
     def close(self) -> None:
@@ -61,16 +60,16 @@
         while self._idle:
             self._idle.pop()[1].close()
 
-    def call(self, call: RawCall, deadline: float) -> RawAnswer:
+    def send(self, request: RawRequest, deadline: float) -> RawResponse:
         """
-        Send once and return the whole answer.
+        Send the request once and return the complete response.
 
-        Raises NotSentError where no byte left; any other OSError, HTTPException or
-        ValueError leaves open whether the service got the call.
+        Raises NotSentError if nothing was sent. After any other error (OSError,
+        HTTPException, ValueError, BadAnswerError) the service may have run the request.
         """
-        connection = self._take() or self._open(deadline)
+        connection = self._take_idle() or self._connect(deadline)
         try:
-            answer, reusable = self._exchange(connection, call, deadline)
+            response, reusable = self._exchange(connection, request, deadline)
         except BaseException as error:
             connection.close()
             if isinstance(error, TimeoutError):
@@ -80,25 +79,25 @@
             self._idle.append((self._clock(), connection))
         else:
             connection.close()
-        return answer
+        return response
 
-    def _take(self) -> HTTPConnection | None:
-        """Return an idle connection that the service has not closed."""
+    def _take_idle(self) -> HTTPConnection | None:
+        """Return an idle connection that the service has not closed, or None."""
         while True:
             try:
                 idle_since, connection = self._idle.pop()
             except IndexError:
                 return None
-            fresh = self._clock() - idle_since < MAX_IDLE_S
-            if fresh and not _is_readable(connection.sock):
+            recent = self._clock() - idle_since < MAX_IDLE_S
+            if recent and not _is_readable(connection.sock):
                 return connection
             connection.close()
 
-    def _open(self, deadline: float) -> HTTPConnection:
-        left_s = deadline - self._clock()
-        if left_s <= 0:
-            raise NotSentError("no time left to connect")
-        timeout_s = min(left_s, MAX_CONNECT_S)
+    def _connect(self, deadline: float) -> HTTPConnection:
+        remaining_s = deadline - self._clock()
+        if remaining_s <= 0:
+            raise NotSentError("deadline passed before connecting")
+        timeout_s = min(remaining_s, CONNECT_TIMEOUT_S)
         connection = HTTPConnection(self._host, self._port, timeout=timeout_s)
         try:
             connection.connect()
@@ -109,49 +108,55 @@
         return connection
 
     def _exchange(
-        self, connection: HTTPConnection, call: RawCall, deadline: float
-    ) -> tuple[RawAnswer, bool]:
-        self._limit(connection, deadline)
-        connection.request(call.method, call.target, call.body, call.headers)
-        self._limit(connection, deadline)
+        self, connection: HTTPConnection, request: RawRequest, deadline: float
+    ) -> tuple[RawResponse, bool]:
+        self._set_socket_timeout(connection, deadline)
+        connection.request(
+            request.method, request.target, request.body, request.headers
+        )
+        self._set_socket_timeout(connection, deadline)
         response = connection.getresponse()
         body = self._read(connection, response, deadline)
         headers = {name.lower(): value for name, value in response.getheaders()}
-        answer = RawAnswer(response.status, headers, body)
-        return answer, not response.will_close
+        raw = RawResponse(response.status, headers, body)
+        return raw, not response.will_close
 
     def _read(
         self, connection: HTTPConnection, response: HTTPResponse, deadline: float
     ) -> bytes:
-        """Read the body whole; a body that ends early raises IncompleteRead."""
-        pieces = []
+        """Return the complete body; raise BadAnswerError or IncompleteRead if cut."""
+        chunks = []
         size = 0
         while True:
             if connection.sock is not None:
-                self._limit(connection, deadline)
-            expected = response.length
-            piece = response.read(
-                READ_BYTES if expected is None else min(READ_BYTES, expected)
+                self._set_socket_timeout(connection, deadline)
+            remaining_bytes = response.length
+            chunk = response.read(
+                READ_CHUNK_BYTES
+                if remaining_bytes is None
+                else min(READ_CHUNK_BYTES, remaining_bytes)
             )
-            if not piece:
+            if not chunk:
                 break
-            pieces.append(piece)
-            size += len(piece)
-            if size > MAX_ANSWER_BYTES:
-                raise BadAnswerError(f"more than {MAX_ANSWER_BYTES} bytes")
+            chunks.append(chunk)
+            size += len(chunk)
+            if size > MAX_RESPONSE_BYTES:
+                raise BadAnswerError(
+                    f"response body exceeds {MAX_RESPONSE_BYTES} bytes"
+                )
         if response.length:
-            raise BadAnswerError(f"{response.length} bytes of the answer are missing")
-        return b"".join(pieces)
+            raise BadAnswerError(f"{response.length} bytes of the response are missing")
+        return b"".join(chunks)
 
-    def _limit(self, connection: HTTPConnection, deadline: float) -> None:
-        left_s = deadline - self._clock()
-        if left_s <= 0:
-            raise TimeoutError("the time is up")
-        connection.sock.settimeout(left_s)
+    def _set_socket_timeout(self, connection: HTTPConnection, deadline: float) -> None:
+        remaining_s = deadline - self._clock()
+        if remaining_s <= 0:
+            raise TimeoutError("deadline passed")
+        connection.sock.settimeout(remaining_s)
 
 
 def _is_readable(sock: socket.socket) -> bool:
-    """Tell whether bytes or the end of the stream wait on an idle connection."""
+    """Return whether an idle connection has unread bytes or has been closed."""
     poller = select.poll()
     poller.register(sock, select.POLLIN)
     return bool(poller.poll(0))
--- a/damaskbay/adapters/platform_http/const.py
+++ b/damaskbay/adapters/platform_http/const.py
@@ -1,4 +1,4 @@
-"""Paths, headers and times of the platform's HTTP interface."""
+"""Paths, headers, limits and timeouts of the platform's HTTP interface."""
 
 from typing import Final
 
@@ -16,10 +16,10 @@
 HEADER_REVISION: Final = "Platform-Revision"
 HEADER_CLIENT: Final = "Platform-Client"
 HEADER_ABSENT: Final = "Platform-Absent"
-"""Set where there is no entry, or none newer: any other 404 is a wrong address."""
+"""Set if there is no entry, or no newer one; a 404 without it means a wrong address."""
 
 HEADER_NO_EFFECT: Final = "Platform-No-Effect"
-"""Set on an error answer where the call surely had no effect."""
+"""Set on an error response if the request had no effect."""
 
 STATUS_OK: Final = 200
 STATUS_NOTHING: Final = 404
@@ -28,10 +28,10 @@
 STATUS_BUSY: Final = 429
 STATUS_UNAVAILABLE: Final = 503
 
-MAX_ANSWER_BYTES: Final = 64 * 1024 * 1024
-READ_BYTES: Final = 64 * 1024
+MAX_RESPONSE_BYTES: Final = 64 * 1024 * 1024
+READ_CHUNK_BYTES: Final = 64 * 1024
 MAX_IDLE_CONNECTIONS: Final = 8
 MAX_IDLE_S: Final = 15.0
-MAX_CONNECT_S: Final = 2.0
+CONNECT_TIMEOUT_S: Final = 2.0
 WATCH_MARGIN_S: Final = 0.5
-"""How much earlier than the caller's time-out the service is to answer a watch."""
+"""Seconds before the caller's timeout at which the service ends a watch."""
--- a/damaskbay/adapters/platform_http/exceptions.py
+++ b/damaskbay/adapters/platform_http/exceptions.py
@@ -1,9 +1,9 @@
-"""Errors inside the HTTP client of the platform; none of them leaves it."""
+"""Errors internal to the HTTP client of the platform."""
 
 
 class BadAnswerError(Exception):
-    """The service answered what the interface does not know."""
+    """The response is incomplete or too large."""
 
 
 class NotSentError(Exception):
-    """No connection could be made, so that no byte of the call left."""
+    """No connection could be established, so nothing was sent."""
--- a/damaskbay/adapters/platform_http/models.py
+++ b/damaskbay/adapters/platform_http/models.py
@@ -1,10 +1,10 @@
-"""Validated models of the platform's JSON answers."""
+"""Pydantic models of the platform's JSON responses."""
 
 from pydantic import Base64Bytes, BaseModel, ConfigDict, Field
 
 
 class EntryModel(BaseModel):
-    """One entry; the value travels as Base64."""
+    """One entry; the value is encoded as Base64."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
--- a/tests/adapters/caller_http/test_application.py
+++ b/tests/adapters/caller_http/test_application.py
@@ -1,4 +1,4 @@
-"""Tests of the caller-facing edge over real sockets, with a fake service."""
+"""Tests of the caller listener over real sockets, with a fake service."""
 
 import http.client
 import json
@@ -34,7 +34,7 @@
 
 
 class _Service:
-    """Serves what a test wants and remembers what came."""
+    """Serves calls with a given function and records them."""
 
     def __init__(self, serve: Serve) -> None:
         self._serve = serve
@@ -49,13 +49,13 @@
 
 
 @contextmanager
-def _edge(serve: Serve) -> Iterator[tuple[WsgiServer, _Service]]:
+def _listener(serve: Serve) -> Iterator[tuple[WsgiServer, _Service]]:
     service = _Service(serve)
     options = WsgiOptions(
         "127.0.0.1", 0, threads=4, max_body_bytes=MAX_BODY_BYTES, lookahead=1
     )
-    with HangUpWatcher() as hang_ups:
-        application = CallerApplication(service, hang_ups)
+    with HangUpWatcher() as disconnect_watcher:
+        application = CallerApplication(service, disconnect_watcher)
         with WsgiServer(application, options, name="edge") as server:
             yield server, service
 
@@ -79,15 +79,15 @@
 @settings(derandomize=True, max_examples=15, deadline=None)
 @given(st.binary(max_size=200_000))
 def test_bodies_pass_unchanged(body: bytes) -> None:
-    """Binary bodies of any size pass both ways."""
-    with _edge(lambda call, _: Answer(200, (), call.request.body)) as (server, _):
-        response, answered = _exchange(server, "POST", "/x", body)
+    """Binary bodies of any size are passed on in both directions."""
+    with _listener(lambda call, _: Answer(200, (), call.request.body)) as (server, _):
+        response, received_body = _exchange(server, "POST", "/x", body)
     assert response.status == 200
-    assert answered == body
+    assert received_body == body
 
 
 def test_answers_without_body_keep_the_connection_usable() -> None:
-    """HEAD, 204 and 304 carry no body, and the next answer is the next call's."""
+    """Responses to HEAD and with 204 or 304 have no body; the connection is reused."""
     cases = [("HEAD", 200), ("GET", 204), ("GET", 304), ("HEAD", 404)]
     statuses = {f"/{status}": status for _, status in cases}
 
@@ -95,7 +95,7 @@
         status = statuses[call.request.target]
         return Answer(status, (("X-Repeat", "1"), ("X-Repeat", "2")), b"")
 
-    with _edge(serve) as (server, _):
+    with _listener(serve) as (server, _):
         connection = http.client.HTTPConnection(
             "127.0.0.1", server.port, timeout=WAIT_S
         )
@@ -109,7 +109,7 @@
 
 
 def test_target_and_headers_reach_the_service_as_sent() -> None:
-    """Path and query stay encoded; hop-by-hop headers end here."""
+    """Path and query stay encoded; hop-by-hop headers are removed."""
     headers = {
         HEADER_KEY: "dk_secret",
         HEADER_DEADLINE: "250",
@@ -118,7 +118,7 @@
         "X-Own": "1",
         "X-Kept": "2",
     }
-    with _edge(lambda *_: Answer(200)) as (server, service):
+    with _listener(lambda *_: Answer(200)) as (server, service):
         _exchange(server, "GET", "/a%2Fb?c=%20d&e", headers=headers)
     call = service.calls[0]
     assert call.request.target == "/a%2Fb?c=%20d&e"
@@ -129,9 +129,9 @@
 
 
 def test_refusals_name_outcome_and_reason() -> None:
-    """Status, Retry-After, headers and document agree."""
+    """Status, Retry-After, headers and JSON body of a refusal are consistent."""
     refusal = not_run(Reason.RATE_EXCEEDED, retry_after_s=2.2, detail="later")
-    with _edge(lambda *_: refusal) as (server, _):
+    with _listener(lambda *_: refusal) as (server, _):
         response, body = _exchange(server)
     document = json.loads(body)
     assert response.status == 429
@@ -141,14 +141,14 @@
 
 
 def test_an_answer_cannot_pass_for_a_refusal() -> None:
-    """Outcome and reason that a backend server sends are not passed on."""
+    """Outcome and reason headers of a backend server are not passed on."""
     nested = (
         (HEADER_OUTCOME, "not_run"),
         (HEADER_REASON.lower(), "overloaded"),
         (HEADER_CALL_ID, "another"),
         ("Kept", "1"),
     )
-    with _edge(lambda *_: Answer(502, nested, b"failed")) as (server, _):
+    with _listener(lambda *_: Answer(502, nested, b"failed")) as (server, _):
         response, body = _exchange(server)
     assert (response.status, body) == (502, b"failed")
     assert response.headers[HEADER_OUTCOME] is None
@@ -158,8 +158,8 @@
 
 
 def test_unreadable_header_is_named() -> None:
-    """A bad deadline is refused and the header named; nothing reaches the service."""
-    with _edge(lambda *_: Answer(200)) as (server, service):
+    """An invalid deadline gets a 400 naming the header; the service is not called."""
+    with _listener(lambda *_: Answer(200)) as (server, service):
         response, body = _exchange(server, headers={HEADER_DEADLINE: "soon"})
     assert response.status == 400
     assert HEADER_DEADLINE in json.loads(body)["detail"]
@@ -167,8 +167,8 @@
 
 
 def test_issue_request_ids() -> None:
-    """Ids are issued by POST, in a bounded number."""
-    with _edge(lambda *_: Answer(200)) as (server, _):
+    """Request ids are issued by POST only; an invalid count gets a 400."""
+    with _listener(lambda *_: Answer(200)) as (server, _):
         _, body = _exchange(server, "POST", "/.damaskbay/request-ids?count=3")
         bad, _ = _exchange(server, "POST", "/.damaskbay/request-ids?count=x")
         get, _ = _exchange(server, "GET", "/.damaskbay/request-ids")
@@ -177,39 +177,39 @@
 
 
 def test_hang_up_cancels_the_call() -> None:
-    """The service learns that its caller has gone."""
+    """The call is cancelled when its caller disconnects."""
     cancelled = threading.Event()
-    came = threading.Event()
+    received = threading.Event()
 
     def serve(_: IncomingCall, cancellation: Cancellation) -> Answer:
         cancellation.on_cancel(cancelled.set)
-        came.set()
+        received.set()
         cancelled.wait(WAIT_S)
         return Answer(200)
 
-    with _edge(serve) as (server, _):
+    with _listener(serve) as (server, _):
         caller = socket.create_connection(("127.0.0.1", server.port))
         caller.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-        assert came.wait(WAIT_S)
+        assert received.wait(WAIT_S)
         caller.close()
         assert cancelled.wait(WAIT_S)
 
 
 def test_drain_finishes_running_calls_and_closes_connections() -> None:
-    """No answer is cut; the connection ends after it; the listener is closed."""
-    came = threading.Event()
+    """A drain lets a running call send its complete response."""
+    received = threading.Event()
     release = threading.Event()
 
     def serve(_: IncomingCall, __: Cancellation) -> Answer:
-        came.set()
+        received.set()
         release.wait(WAIT_S)
         return Answer(200, (), b"whole")
 
     results: list[tuple[http.client.HTTPResponse, bytes]] = []
-    with _edge(serve) as (server, _):
+    with _listener(serve) as (server, _):
         caller = threading.Thread(target=lambda: results.append(_exchange(server)))
         caller.start()
-        assert came.wait(WAIT_S)
+        assert received.wait(WAIT_S)
         server.drain()
         release.set()
         caller.join(WAIT_S)
@@ -217,8 +217,8 @@
 
 
 def test_garbage_never_stops_the_edge() -> None:
-    """Any bytes from a caller leave the listener serving others."""
-    with _edge(lambda *_: Answer(200)) as (server, _):
+    """The listener serves other callers after receiving any bytes."""
+    with _listener(lambda *_: Answer(200)) as (server, _):
 
         @settings(derandomize=True, max_examples=60, deadline=None)
         @given(st.binary(min_size=1, max_size=300))
--- a/tests/adapters/gossip_udp/test_codec.py
+++ b/tests/adapters/gossip_udp/test_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the datagrams' encoding."""
+"""Tests of the encoding of datagrams."""
 
 import unittest
 from dataclasses import replace
@@ -22,7 +22,7 @@
 
 
 def test_round_trip() -> None:
-    """Each kind of packet comes back as it went."""
+    """Each kind of packet is equal after encoding and decoding."""
     for packet in (
         Ping(ENTRY, 1, (ENTRY,)),
         IndirectPing(ENTRY, 2, ADDRESS),
@@ -33,7 +33,7 @@
 
 
 def test_another_secret_or_a_changed_byte_is_dropped() -> None:
-    """A datagram counts only as its sender made it."""
+    """Datagrams with another secret or a changed byte fail authentication."""
     data = PacketCodec(SECRET).encode(Ping(ENTRY, 1))
     assert PacketCodec(b"other").decode(data) is DatagramProblem.UNPROVEN
     rotating = PacketCodec(b"other", SECRET)
@@ -43,7 +43,7 @@
 
 
 def test_replays_are_dropped_and_disorder_is_not() -> None:
-    """A datagram counts once, in whatever order it comes."""
+    """Each datagram is accepted once, in any order; replays are dropped."""
     sender, receiver = PacketCodec(SECRET), PacketCodec(SECRET)
     first, second = (sender.encode(Ping(ENTRY, number)) for number in (1, 2))
     assert isinstance(receiver.decode(second), Ping)
@@ -56,7 +56,7 @@
 
 
 def test_datagram_is_bounded() -> None:
-    """News that do not fit are left out, the rest arrives."""
+    """Updates that do not fit are left out; the others are sent."""
     long = replace(ENTRY, instance="i" * 64, pool="p" * 64)
     data = PacketCodec(SECRET).encode(Rumor(ENTRY, (long,) * 40))
     assert len(data) <= MAX_DATAGRAM_BYTES
@@ -66,7 +66,7 @@
 
 
 def test_size_estimate_is_an_upper_bound() -> None:
-    """The estimate that limits news holds for the longest values."""
+    """`size_bytes` is an upper bound, also for the longest values."""
     host = PeerAddress("255.255.255.255", 65_535)
     long = replace(
         ENTRY,
@@ -86,7 +86,7 @@
 @settings(derandomize=True)
 @given(st.binary(max_size=300))
 def test_garbage_is_a_value_not_an_exception(body: bytes) -> None:
-    """Any bytes under a valid digest give a packet or a problem."""
+    """Any bytes, also with a valid MAC, give a packet or a problem."""
     codec = PacketCodec(SECRET)
     codec.decode(body)
     codec.decode(_mac(codec._keys[0], body) + body)
--- a/tests/adapters/peer_link/test_link.py
+++ b/tests/adapters/peer_link/test_link.py
@@ -61,12 +61,12 @@
     """Each request gets its own reply."""
 
     async def check(one: _Daemon, two: _Daemon) -> None:
-        task = [
+        requests = [
             one.links.request(two.address, ConfigWanted(number), timeout_s=WAIT_S)
             for number in range(50)
         ]
-        answers = await asyncio.gather(*task)
-        assert [answer.version for answer in answers] == list(range(50))
+        replies = await asyncio.gather(*requests)
+        assert [reply.version for reply in replies] == list(range(50))
 
     _run(check)
 
--- a/tests/adapters/test_platform_http.py
+++ b/tests/adapters/test_platform_http.py
@@ -1,4 +1,4 @@
-"""Contract of both platform adapters, and the HTTP client's own failures."""
+"""Contract tests of both platform clients, and failure tests of the HTTP client."""
 
 import json
 import socket
@@ -13,7 +13,7 @@
 from hypothesis import given, settings, strategies as st
 
 from damaskbay.adapters.platform_http.client import HttpPlatform
-from damaskbay.adapters.platform_http.connections import Connections, RawCall
+from damaskbay.adapters.platform_http.connections import ConnectionPool, RawRequest
 from damaskbay.const import MAX_PLATFORM_VALUE_BYTES
 from damaskbay.helpers.clock import monotonic_s
 from damaskbay.ports.platform import (
@@ -34,7 +34,7 @@
 
 @contextmanager
 def _platforms() -> Iterator[list[tuple[MemoryPlatform, Platform]]]:
-    """Yield each adapter with the store behind it."""
+    """Yield each platform client with its store."""
     with ExitStack() as stack:
         memory = MemoryPlatform()
         server = stack.enter_context(PlatformServer())
@@ -54,7 +54,7 @@
 
 
 def test_compare_and_swap() -> None:
-    """A write needs the right revision; revisions only grow, also after a delete."""
+    """A write needs the current revision; revisions only grow, also after a delete."""
     with _platforms() as platforms:
         for _, platform in platforms:
             key = "a/b ü?&"
@@ -78,7 +78,7 @@
 
 
 def test_list_and_sizes() -> None:
-    """Entries come in key order; a value over the limit is refused."""
+    """Entries are listed in key order; a value over the limit is rejected."""
     with _platforms() as platforms:
         for _, platform in platforms:
             largest = b"x" * MAX_PLATFORM_VALUE_BYTES
@@ -89,10 +89,10 @@
 
 
 def test_a_lease_lapses() -> None:
-    """An entry that is not written again in time is gone."""
+    """An entry is deleted when its lease expires."""
     with _platforms() as platforms:
         for _, platform in platforms:
-            for lease_s, stands in ((0.01, False), (60.0, True)):
+            for lease_s, exists in ((0.01, False), (60.0, True)):
                 written = platform.compare_and_swap(
                     f"lease/{lease_s}",
                     b"1",
@@ -103,11 +103,11 @@
                 assert isinstance(written, Entry)
                 time.sleep(0.02)
                 entry = platform.get(written.key, timeout_s=TIMEOUT_S)
-                assert (entry is not None) is stands
+                assert (entry is not None) is exists
 
 
 def test_watch() -> None:
-    """A watch answers at once, on the next change, or when its time is up."""
+    """A watch returns at once, on the next change or on timeout."""
     with _platforms() as platforms, ThreadPoolExecutor(1) as pool:
         for store, platform in platforms:
             first = _put(platform, "a", b"1")
@@ -126,7 +126,7 @@
 
 
 def test_faults_mean_the_same_over_http() -> None:
-    """Outage, cut, lost answer, dropped write, busy and slow."""
+    """Each fault gives the same problem over HTTP as in memory."""
     with _platforms() as platforms:
         for store, platform in platforms:
             unreachable = (Faults(outage=True), Faults(cut_clients=frozenset({"c"})))
@@ -134,12 +134,12 @@
                 with store.fault(**asdict(faults)):
                     result = _put(platform, "a", b"1")
                     assert _problem(result) is PlatformProblem.UNAVAILABLE
-            for name, stands in (("lose_answers", True), ("drop_writes", False)):
+            for name, exists in (("lose_answers", True), ("drop_writes", False)):
                 store.inject(**{name: 1})
                 result = _put(platform, name, b"1")
                 assert _problem(result) is PlatformProblem.ANSWER_LOST
                 entry = platform.get(name, timeout_s=TIMEOUT_S)
-                assert isinstance(entry, Entry) is stands
+                assert isinstance(entry, Entry) is exists
             with store.fault(max_writes_per_s=0):
                 assert _problem(_put(platform, "b", b"1")) is PlatformProblem.BUSY
             with store.fault(delay_s=0.1):
@@ -154,7 +154,7 @@
 
 
 def test_nobody_listens() -> None:
-    """A refused connection surely had no effect, for a write too."""
+    """A refused TCP connection is reported as no effect, also for a write."""
     with socket.socket() as unused:
         unused.bind((HOST, 0))
         with HttpPlatform(HOST, unused.getsockname()[1]) as platform:
@@ -162,7 +162,7 @@
 
 
 def test_a_restarted_service_is_found_again() -> None:
-    """A kept-alive connection that the service closed is not used again."""
+    """A kept-alive connection that the service has closed is not reused."""
     store = MemoryPlatform()
     with ExitStack() as first:
         port = first.enter_context(PlatformServer(store)).port
@@ -174,72 +174,72 @@
 
 
 class _Script:
-    """A listener that gives each connection the next of some scripted answers."""
+    """Listener that sends the next scripted response on each connection."""
 
-    def __init__(self, answers: list[bytes | None]) -> None:
-        self.answers = answers
+    def __init__(self, responses: list[bytes | None]) -> None:
+        self.responses = responses
         self.listener = socket.create_server((HOST, 0))
         self.listener.settimeout(TIMEOUT_S)
         self.port = self.listener.getsockname()[1]
-        self.kept: list[socket.socket] = []
+        self.connections: list[socket.socket] = []
 
     def run(self) -> None:
-        """Answer once per connection and close it; None: stay silent."""
-        for answer in self.answers:
+        """Send one response per connection and close it; send nothing for None."""
+        for response in self.responses:
             connection = self.listener.accept()[0]
-            self.kept.append(connection)
+            self.connections.append(connection)
             connection.settimeout(TIMEOUT_S)
             connection.recv(65_536)
-            if answer is not None:
-                connection.sendall(answer)
+            if response is not None:
+                connection.sendall(response)
                 connection.shutdown(socket.SHUT_WR)
 
 
 @contextmanager
-def _scripted(answers: list[bytes | None]) -> Iterator[HttpPlatform]:
-    script = _Script(answers)
+def _scripted(responses: list[bytes | None]) -> Iterator[HttpPlatform]:
+    script = _Script(responses)
     with script.listener, ThreadPoolExecutor(1) as pool:
         running = pool.submit(script.run)
         with HttpPlatform(HOST, script.port) as platform:
             yield platform
         running.result()
-    for connection in script.kept:
+    for connection in script.connections:
         connection.close()
 
 
 def test_a_silent_connection_is_replaced() -> None:
-    """The call on it ends in time; the next one opens another connection."""
-    whole = b"HTTP/1.1 200 OK\r\nPlatform-Revision: 4\r\nContent-Length: 1\r\n\r\nx"
-    with _scripted([None, whole]) as platform:
+    """A request on an unresponsive connection times out; the next one reconnects."""
+    complete = b"HTTP/1.1 200 OK\r\nPlatform-Revision: 4\r\nContent-Length: 1\r\n\r\nx"
+    with _scripted([None, complete]) as platform:
         read = platform.get("a", timeout_s=0.05)
         assert _problem(read) is PlatformProblem.UNAVAILABLE
         assert platform.get("a", timeout_s=TIMEOUT_S) == Entry("a", b"x", 4)
 
 
 def test_a_timeout_gives_up_every_idle_connection() -> None:
-    """What went silent on one path may have lost track of the others too."""
+    """A timeout closes all idle connections, which may be unresponsive as well."""
     with PlatformServer() as server, ThreadPoolExecutor(1) as pool:
-        connections = Connections(HOST, server.port, monotonic_s)
-        watch = RawCall("GET", "/v1/watch?key=a&timeout_s=0.1", {})
-        get = RawCall("GET", "/v1/entry?key=a", {})
-        waiting = pool.submit(connections.call, watch, monotonic_s() + TIMEOUT_S)
+        connection_pool = ConnectionPool(HOST, server.port, monotonic_s)
+        watch = RawRequest("GET", "/v1/watch?key=a&timeout_s=0.1", {})
+        get = RawRequest("GET", "/v1/entry?key=a", {})
+        waiting = pool.submit(connection_pool.send, watch, monotonic_s() + TIMEOUT_S)
         while server.platform.counters.waiting == 0:
             time.sleep(0.001)
-        connections.call(get, monotonic_s() + TIMEOUT_S)
+        connection_pool.send(get, monotonic_s() + TIMEOUT_S)
         waiting.result()
-        assert connections.idle_count == 2
+        assert connection_pool.idle_count == 2
         server.platform.inject(delay_s=0.2)
         try:
-            connections.call(get, monotonic_s() + 0.02)
+            connection_pool.send(get, monotonic_s() + 0.02)
         except TimeoutError:
-            assert connections.idle_count == 0
+            assert connection_pool.idle_count == 0
         else:
-            raise AssertionError("an answer came in time")
+            raise AssertionError("response arrived before the timeout")
 
 
 def test_an_answer_that_is_not_whole_is_no_answer() -> None:
-    """Cut short, without a revision, or an error that does not say `no effect`."""
-    for answer in (
+    """A cut response, no revision or an error without `no effect` is a failure."""
+    for response in (
         b"HTTP/1.1 200 OK\r\nPlatform-Revision: 4\r\nContent-Length: 9\r\n\r\nx",
         b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx",
         b"HTTP/1.1 200 OK\r\nPlatform-Revision: -4\r\nContent-Length: 0\r\n\r\n",
@@ -247,12 +247,12 @@
         b"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n",
         b"",
     ):
-        with _scripted([answer]) as platform:
+        with _scripted([response]) as platform:
             read = platform.get("a", timeout_s=TIMEOUT_S)
-            assert _problem(read) is PlatformProblem.UNAVAILABLE, answer
-        with _scripted([answer]) as platform:
+            assert _problem(read) is PlatformProblem.UNAVAILABLE, response
+        with _scripted([response]) as platform:
             written = _put(platform, "a", b"1")
-            assert _problem(written) is PlatformProblem.ANSWER_LOST, answer
+            assert _problem(written) is PlatformProblem.ANSWER_LOST, response
 
 
 _PIECES = st.sampled_from(
@@ -263,17 +263,17 @@
 
 @settings(derandomize=True, max_examples=80, deadline=None)
 @given(st.lists(st.one_of(_PIECES, st.binary(max_size=10)), max_size=12).map(b"".join))
-def test_any_answer_gives_a_value(answer: bytes) -> None:
-    """No bytes from the service raise an exception."""
-    with _scripted([answer]) as platform:
+def test_any_answer_gives_a_value(response: bytes) -> None:
+    """The client raises no exception whatever bytes the service sends."""
+    with _scripted([response]) as platform:
         platform.list("a", timeout_s=1.0)
-    with _scripted([answer]) as platform:
+    with _scripted([response]) as platform:
         written = _put(platform, "a", b"1")
         assert isinstance(written, Entry | Conflict | PlatformFailure)
 
 
 def test_faults_and_counters_by_the_operator_endpoint() -> None:
-    """Faults are set as JSON; calls are counted by client."""
+    """Faults are set as JSON; requests are counted by client."""
     with PlatformServer() as server, HttpPlatform(HOST, server.port, name="c") as one:
         connection = HTTPConnection(HOST, server.port, timeout=TIMEOUT_S)
         connection.request("PUT", "/v1/faults", b'{"cut_clients": ["d"]}')
@@ -287,7 +287,7 @@
 
 
 def test_bad_requests_get_a_clear_answer() -> None:
-    """The stand-in refuses what the interface does not know and lives on."""
+    """The stand-in rejects unknown requests and keeps serving."""
     with PlatformServer() as server, HttpPlatform(HOST, server.port) as platform:
         for target in ("/", "/v1/entry?key=a&expected_revision=x", "/v1/entry?other=1"):
             connection = HTTPConnection(HOST, server.port, timeout=TIMEOUT_S)
