--- a/damaskbay/adapters/http1/client.py
+++ b/damaskbay/adapters/http1/client.py
@@ -348,7 +348,7 @@
 
 
 def encode_request(request: Request) -> bytes:
-    """Encode a request; its headers contain neither Host nor Content-Length."""
+    """Encode a request; adds Host and Content-Length, which its headers lack."""
     lines = [f"{request.method} {request.target} HTTP/1.1", f"Host: {request.host}"]
     lines += [f"{name}: {value}" for name, value in request.headers]
     if request.body or request.method in {"POST", "PUT", "PATCH"}:
--- a/damaskbay/adapters/http1/server.py
+++ b/damaskbay/adapters/http1/server.py
@@ -188,7 +188,7 @@
         exchange = _Exchange(arrival, self._parser.should_keep_alive())
         self._exchanges.append(exchange)
         exchange.task = asyncio.get_running_loop().create_task(self._serve(exchange))
-        self._update_reading()
+        self._apply_backpressure()
 
     def close_if_timed_out(self, now: float) -> None:
         """Close the connection if one of its timeouts has expired."""
@@ -236,7 +236,7 @@
                 return
         if not self._exchanges and self._error_status is not None:
             self._reject(self._error_status)
-        self._update_reading()
+        self._apply_backpressure()
 
     def _close_after_response(self) -> None:
         """Close after the last response; later pipelined requests are not run."""
@@ -261,7 +261,7 @@
         self._transport.write(encode_response(Answer(int(status)), "GET", False))
         self._transport.close()
 
-    def _update_reading(self) -> None:
+    def _apply_backpressure(self) -> None:
         """Pause reading while too many requests of this caller are in flight."""
         too_many = len(self._exchanges) >= MAX_PIPELINED_REQUESTS
         if self._transport is None or too_many == self._reading_paused:
@@ -337,7 +337,7 @@
 
 
 def encode_response(response: Answer, method: str, keep_alive: bool) -> bytes:
-    """Encode a response; its headers contain no Content-Length."""
+    """Encode a response; adds Content-Length, which its headers lack."""
     no_body = method == "HEAD" or response.status in _STATUSES_WITHOUT_BODY
     phrase = _PHRASES.get(response.status, "Unknown")
     lines = [f"HTTP/1.1 {response.status} {phrase}"]
--- a/tests/adapters/http1/test_client.py
+++ b/tests/adapters/http1/test_client.py
@@ -35,11 +35,11 @@
                 await reader.readuntil(b"\r\n\r\n")
             except asyncio.IncompleteReadError:
                 break
-            answer = self.responses.pop(0)
-            if answer is None:
+            response = self.responses.pop(0)
+            if response is None:
                 writer.transport.abort()
                 return
-            writer.write(answer)
+            writer.write(response)
             if self.close:
                 break
         writer.close()
--- a/tests/adapters/telemetry/test_bound.py
+++ b/tests/adapters/telemetry/test_bound.py
@@ -12,7 +12,7 @@
 
 
 def test_calls_are_counted_by_outcome_and_reason() -> None:
-    """Responses, later refusals and calls that were never sent are counted apart."""
+    """Responses, refusals and calls refused before routing are counted separately."""
     telemetry = BoundTelemetry()
     answered = CallResult(Answer(200), attempts=2, backend_s=0.01)
     telemetry.call_ended(CONTEXT, answered, took_s=0.02)
