--- a/damaskbay/core/at_most_once.py
+++ b/damaskbay/core/at_most_once.py
@@ -219,8 +219,8 @@
         """
         Drop the stored id that was issued first.
 
-        No id issued before it can run from now on, since it is no longer known
-        whether that id was used.
+        From now on, this id and all ids issued before it are refused, since it is no
+        longer known which of them were used.
         """
         sequence, _ = heapq.heappop(self._age_heap)
         self._highest_forgotten_sequence = max(
--- a/damaskbay/core/call.py
+++ b/damaskbay/core/call.py
@@ -42,8 +42,8 @@
     is sent to other processes. `priority_rank` 0 is the most important. `depth` is
     0 for the root. `retry_tokens` were moved to this call and are either spent by
     it or returned, never copied. `objective_s` is the latency objective in seconds.
-    `resent` marks a retry, `under_resent` a call nested below a retry: for the
-    server that receives it, either is a retry.
+    `resent` marks a retry, `under_resent` a call nested below a retry; the receiving
+    server treats both as retries.
     """
 
     call_id: str
--- a/damaskbay/core/call_tree.py
+++ b/damaskbay/core/call_tree.py
@@ -125,7 +125,7 @@
             call.tokens += context.retry_tokens
 
     def close(self, token: str) -> ClosedCall:
-        """End a call and invalidate its token."""
+        """End a call; return its unspent retry tokens and nested calls to cancel."""
         call = self._by_token.get(token)
         if call is None:
             return ClosedCall(0, ())
--- a/damaskbay/core/dissemination/lease.py
+++ b/damaskbay/core/dissemination/lease.py
@@ -5,8 +5,8 @@
     """
     Lease that is valid for `lease_s` minus `margin_s` from its request.
 
-    The service counts from the arrival of the write, so the local end is never
-    later. Times are in seconds of the monotonic clock.
+    The platform counts from the arrival of the write, so the lease never ends later
+    here than there. Times are in seconds of the monotonic clock.
     """
 
     def __init__(self, *, lease_s: float, margin_s: float) -> None:
--- a/damaskbay/core/dissemination/options.py
+++ b/damaskbay/core/dissemination/options.py
@@ -9,14 +9,17 @@
     Options of dissemination, times in seconds.
 
     In each failure domain, `relays` daemons watch the platform. Each holds a lease
-    of `lease_s` and treats it as expired `lease_margin_s` early. The first `backups`
-    daemons, including the relays, can replace the relays towards remote failure
-    domains. New sets are pushed through a tree with a fanout of `push_fanout`.
-    Every `poll_period_s` a daemon polls its parent in a tree with a fanout of
-    `poll_fanout`. A poll without a reply fails after `poll_timeout_s`.
+    of `lease_s` and treats it as expired `lease_margin_s` early. New sets are
+    pushed through a tree with a fanout of `push_fanout`. Every `poll_period_s` a
+    daemon polls its parent in a tree with a fanout of `poll_fanout`, or, one time in
+    `random_poll_every`, a random daemon. A poll without a reply fails after
+    `poll_timeout_s`. After an invalid set was pulled, pulls pause for
+    `refused_pause_s`.
 
-    Without a proof for `outage_after_s`, the `backups` daemons poll the remote
-    failure domains, whose replies are valid for `reach_valid_s`.
+    The `backups` highest-ranked daemons, which include the relays, are polled in
+    place of a missing or unresponsive parent. Without a proof for `outage_after_s`,
+    they poll the remote failure domains, whose replies are valid for
+    `reach_valid_s`.
     """
 
     relays: int = 2
--- a/damaskbay/core/dissemination/order.py
+++ b/damaskbay/core/dissemination/order.py
@@ -46,7 +46,7 @@
         self.leaders: tuple[MemberView, ...] = ()
 
     def update(self, members: tuple[MemberView, ...]) -> None:
-        """Update the live members; cheap for the same tuple as before."""
+        """Update the live members; do nothing if the tuple object is the same."""
         if members is self._members:
             return
         self._members = members
--- a/damaskbay/core/membership/directory.py
+++ b/damaskbay/core/membership/directory.py
@@ -23,7 +23,7 @@
             self._by_pool[pool] = self.revision
 
     def since(self, revision: int, among: Iterable[str] = ()) -> tuple[str, ...]:
-        """Return the pools that changed after a revision; `among` limits the choice."""
+        """Return the pools changed after a revision, only those in `among` if given."""
         if revision == self.revision:
             return ()
         by_pool = self._by_pool
--- a/damaskbay/core/membership/exchange.py
+++ b/damaskbay/core/membership/exchange.py
@@ -88,7 +88,7 @@
         self._subscriber_by_address: dict[PeerAddress, _Subscriber] = {}
 
     def want(self, pools: Iterable[str], now: float) -> None:
-        """Record the pools that calls go to."""
+        """Record pools that calls go to; servers of new pools are requested at once."""
         for pool in pools:
             if pool not in self._wanted_until_by_pool:
                 self._next_request_at = now
@@ -98,7 +98,7 @@
             self._wanted_until_by_pool[pool] = now + self._options.wanted_pool_s
 
     def questions(self, now: float) -> list[Question]:
-        """Return the requests that are due; none between two periods."""
+        """Return the requests to send now; empty until the next period begins."""
         if now < self._next_request_at:
             return []
         jitter = self._rng.uniform(0.8, 1.2)
@@ -178,7 +178,7 @@
         return changed
 
     def _requests_to_domains(self) -> list[Question]:
-        """Return requests to one contact of each other domain for all its pools."""
+        """Return a request to one contact of each remote domain, for all its pools."""
         by_domain = self._book.addresses_by_domain
         return [
             self._request_to(domain, addresses, ())
--- a/damaskbay/core/membership/options.py
+++ b/damaskbay/core/membership/options.py
@@ -13,7 +13,13 @@
     `probe_timeout_s` its target becomes suspect, and dead after `suspicion_s` more.
     Updates are sent at once to `rumor_fanout` members within `rumor_bytes_per_s`,
     and are also piggybacked on probes: `retransmit_factor` times the binary
-    logarithm of the number of members.
+    logarithm of the number of members, with up to `max_updates_bytes` in a datagram.
+
+    After a failed call, a member is avoided for `avoid_s`. Tables are synchronized
+    every `sync_period_s`; a crashed member and a seed are pinged every
+    `reconnect_period_s`. A gap of `pause_detection_s` between two ticks discards
+    pending updates, probes and suspicions. Dead entries are removed after
+    `tombstone_s`.
 
     `delegates` daemons represent a failure domain. They store their addresses in the
     platform with a lease of `contact_lease_s` and read all contacts every
--- a/damaskbay/core/membership/packets.py
+++ b/damaskbay/core/membership/packets.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """Reply to a probe; in a forwarded one, the target's entry is the first update."""
+    """Reply to a probe; a forwarded ack has the target's entry as its first update."""
 
     sender: MemberEntry
     probe: int
--- a/damaskbay/core/membership/probes.py
+++ b/damaskbay/core/membership/probes.py
@@ -65,7 +65,7 @@
         return self._number
 
     def start_relayed(self, requester: PeerAddress, probe: int, now: float) -> int:
-        """Record a probe sent for another member and return its number."""
+        """Record a probe for another member, up to a limit; return its number."""
         self._drop_expired_relayed(now)
         number = self.untracked_number()
         if len(self._relayed_by_number) < _MAX_RELAYED_PROBES:
--- a/damaskbay/core/membership/swim.py
+++ b/damaskbay/core/membership/swim.py
@@ -50,11 +50,11 @@
         self._avoided_until_by_instance: dict[str, float] = {}
         self._seeds: tuple[PeerAddress, ...] = ()
         self._disputed: list[MemberEntry] = []
-        self._last_receipt = now
-        self._last_tick = now
-        self._next_probe = now
-        self._next_reconnect = now
-        self._next_sync = now
+        self._last_receipt_at = now
+        self._last_tick_at = now
+        self._next_probe_at = now
+        self._next_reconnect_at = now
+        self._next_sync_at = now
         self._rumor_budget_bytes = options.rumor_burst_bytes
         self._merge_entries([own], now)
 
@@ -63,7 +63,7 @@
         previous = self._seeds
         self._seeds = tuple(seed for seed in seeds if seed != self.own.gossip)
         if set(self._seeds) - set(previous):
-            self._next_reconnect = self._last_tick
+            self._next_reconnect_at = self._last_tick_at
 
     def announce(
         self, *, pool: str, state: ServerState, slots: int, load: float, now: float
@@ -116,34 +116,34 @@
 
     def sync_target(self, now: float) -> MemberEntry | None:
         """Return the member to synchronize tables with, or None if no sync is due."""
-        if now < self._next_sync and not self.sync_needed:
+        if now < self._next_sync_at and not self.sync_needed:
             return None
         peers = self._live_peers()
         if not peers:
             return None
         self.sync_needed = False
-        self._next_sync = now + self._options.sync_period_s
+        self._next_sync_at = now + self._options.sync_period_s
         return self._rng.choice(peers)
 
     def sync_failed(self, now: float) -> None:
         """Schedule a retry with another member after a table sync failed."""
-        self._next_sync = now + _SYNC_RETRY_S
+        self._next_sync_at = now + _SYNC_RETRY_S
 
     def tick(self, now: float) -> list[Outgoing]:
         """Run all due timers; return the datagrams to send."""
-        elapsed_s = now - self._last_tick
-        self._last_tick = now
+        elapsed_s = now - self._last_tick_at
+        self._last_tick_at = now
         if elapsed_s >= self._options.pause_detection_s:
             self._reset_after_pause()
         self._refill_rumor_budget(elapsed_s)
         outgoing = self._advance_probes(now)
         self._end_suspicions(now)
         self._end_avoidance(now)
-        if now >= self._next_probe:
-            self._next_probe = now + self._options.probe_period_s
+        if now >= self._next_probe_at:
+            self._next_probe_at = now + self._options.probe_period_s
             outgoing += self._probe_next(now)
-        if now >= self._next_reconnect:
-            self._next_reconnect = now + self._options.reconnect_period_s
+        if now >= self._next_reconnect_at:
+            self._next_reconnect_at = now + self._options.reconnect_period_s
             self.table.purge(now, tombstone_s=self._options.tombstone_s)
             outgoing += self._reconnect()
         outgoing += self._ping_disputed()
@@ -205,7 +205,7 @@
 
     def _record_receipt(self, now: float) -> None:
         """Record the receipt of a datagram; undo provisional conclusions."""
-        self._last_receipt = now
+        self._last_receipt_at = now
         for previous in self._suspicions.take_provisional():
             known = self.table.by_instance[previous.instance].entry
             if known.precedence[:2] == previous.precedence[:2]:
@@ -232,6 +232,7 @@
         return Outgoing(known.gossip, ping)
 
     def _merge_own_entry(self, entry: MemberEntry, now: float) -> None:
+        """Refute a peer's entry about this process, or record that it is displaced."""
         if entry.incarnation > self.own.incarnation:
             self.displaced = True
             self._apply_entry(entry, now)
@@ -300,7 +301,7 @@
         if record.entry.status is not Status.ALIVE:
             return
         self._merge_entries([replace(record.entry, status=Status.SUSPECT)], now)
-        if now - self._last_receipt >= self._options.probe_timeout_s:
+        if now - self._last_receipt_at >= self._options.probe_timeout_s:
             self._suspicions.record_provisional(record.entry)
             self._updates.drop(probe.instance)
 
--- a/damaskbay/core/membership/sync.py
+++ b/damaskbay/core/membership/sync.py
@@ -1,4 +1,4 @@
-"""Messages over peer streams that complete what lost datagrams left out."""
+"""Peer stream messages: entries missed by lost datagrams, and server samples."""
 
 from dataclasses import dataclass
 
--- a/damaskbay/core/membership/table.py
+++ b/damaskbay/core/membership/table.py
@@ -90,7 +90,7 @@
                 del self._instance_by_address[entry.address]
 
     def digests(self) -> tuple[bytes, ...]:
-        """Return a digest of the live entries in each bucket of instances."""
+        """Return one digest for each bucket of instances, over its live entries."""
         sums = [0] * DIGEST_BUCKETS
         for entry in self.live():
             text = f"{entry.instance}\0{entry.incarnation}\0{entry.version}"
--- a/damaskbay/core/membership/updates.py
+++ b/damaskbay/core/membership/updates.py
@@ -36,7 +36,11 @@
         self._by_instance.clear()
 
     def take(self, *, limit_bytes: int, limit_sends: int) -> tuple[MemberEntry, ...]:
-        """Return the updates that fit into a datagram, the least often sent first."""
+        """
+        Return the updates that fit into `limit_bytes`, the least often sent first.
+
+        An update is removed from the queue after it was returned `limit_sends` times.
+        """
         waiting = sorted(self._by_instance.values(), key=lambda item: item.sends)
         taken = _fit_into(waiting, limit_bytes)
         for item in taken:
--- a/damaskbay/core/membership/wire.py
+++ b/damaskbay/core/membership/wire.py
@@ -57,7 +57,7 @@
 
 
 def entry_from(values: Any) -> MemberEntry:
-    """Return the entry of a decoded list; raise ValueError if it is invalid."""
+    """Build an entry from a list of values; raise ValueError if it is invalid."""
     return _entry(_ENTRY_ADAPTER.validate_python(values))
 
 
--- a/damaskbay/core/pressure.py
+++ b/damaskbay/core/pressure.py
@@ -7,11 +7,11 @@
 from damaskbay.core.admission.level import pass_share
 from damaskbay.core.outcome import Reason, Refusal, not_run
 from damaskbay.core.routing.const import (
+    LEVEL_EXPIRY_S,
     LEVEL_FRESH_S,
-    LEVEL_GONE_S,
-    PASS_LOWEST,
+    MIN_PASS_SHARE,
 )
-from damaskbay.core.routing.demand import DemandMeter, wait_by_share_s
+from damaskbay.core.routing.demand import DemandMeter, random_retry_delay_s
 
 RETRY_AFTER_S = 0.4
 """Mean retry delay while nearly all requests pass, in seconds."""
@@ -20,7 +20,7 @@
 """Upper limit of the mean retry delay, in seconds; callers hardly wait longer."""
 
 HIGHEST_LEVEL = 16 * LEVEL_STEPS_PER_RANK
-"""Level of a path without overload; averaging needs an upper end of the scale."""
+"""Level of a route without overload; it is finite so that levels can be averaged."""
 
 LEVEL_GAIN = 0.3
 """Weight of the newest level in the moving average over servers."""
@@ -29,7 +29,7 @@
 @dataclass(slots=True)
 class _Level:
     value: float
-    at: float
+    updated_at: float
 
 
 class PathLevels:
@@ -50,19 +50,19 @@
             return
         value = float(min(level, HIGHEST_LEVEL))
         known = self._levels.get(route)
-        if known is not None and now - known.at < LEVEL_GONE_S:
+        if known is not None and now - known.updated_at < LEVEL_EXPIRY_S:
             value = known.value + LEVEL_GAIN * (value - known.value)
         self._levels[route] = _Level(value, now)
 
     def level(self, route: str, now: float) -> int:
         """Return the current level of a route."""
         known = self._levels.get(route)
-        if known is None or now - known.at >= LEVEL_GONE_S:
+        if known is None or now - known.updated_at >= LEVEL_EXPIRY_S:
             return HIGHEST_LEVEL
-        age_s = now - known.at
+        age_s = now - known.updated_at
         if age_s <= LEVEL_FRESH_S:
             return int(known.value)
-        decay = (age_s - LEVEL_FRESH_S) / (LEVEL_GONE_S - LEVEL_FRESH_S)
+        decay = (age_s - LEVEL_FRESH_S) / (LEVEL_EXPIRY_S - LEVEL_FRESH_S)
         return int(known.value + (HIGHEST_LEVEL - known.value) * decay)
 
 
@@ -89,12 +89,12 @@
     ) -> Refusal | None:
         """Return a refusal, or None if the request is admitted."""
         share = self._share_of_rank(route, rank, now)
-        admitted_share = self._demand.pass_share(
+        admitted_share = self._demand.record_call(
             route, rank, workspace, weight=weight, share=share, now=now
         )
         if admitted_share >= 1.0 or self._rng.random() < admitted_share:
             return None
-        wait_s = wait_by_share_s(
+        wait_s = random_retry_delay_s(
             admitted_share, RETRY_AFTER_S, MAX_RETRY_AFTER_S, self._rng
         )
         detail = f"{share:.2f} of rank {rank} may pass"
@@ -103,4 +103,4 @@
     def _share_of_rank(self, route: str, rank: int, now: float) -> float:
         level = self._levels.level(route, now)
         capped_rank = min(rank, HIGHEST_LEVEL // LEVEL_STEPS_PER_RANK - 1)
-        return max(PASS_LOWEST, pass_share(level, capped_rank))
+        return max(MIN_PASS_SHARE, pass_share(level, capped_rank))
--- a/damaskbay/core/routing/const.py
+++ b/damaskbay/core/routing/const.py
@@ -4,8 +4,11 @@
 MIN_WARMTH = 0.1
 
 LEVEL_FRESH_S = 0.25
-LEVEL_GONE_S = 0.75
-PASS_LOWEST = 0.02
+LEVEL_EXPIRY_S = 0.75
+"""Age at which an admission level has no effect; it fades from LEVEL_FRESH_S on."""
+
+MIN_PASS_SHARE = 0.02
+"""Share of calls of a fully shed rank that pass, so that recovery is detected."""
 
 SAMPLE_SIZE = 8
 LOCAL_MAX_OCCUPANCY = 0.8
@@ -13,12 +16,16 @@
 
 REPORTED_LOAD_WEIGHT = 0.2
 REPORTED_LOAD_MAX_AGE_S = 5.0
+"""Age at which reported load no longer breaks ties; its weight falls until then."""
 
 REMOTE_PENALTY = 0.4
 """Penalty on the score of a remote server, in load per slot."""
 
 LOAD_REPLACE_AFTER_S = 0.1
+"""Age from which a fleet report may replace a load that a response reported."""
+
 LOAD_EXPIRY_S = 1.5
+"""Age at which occupancy by reported load falls back to local calls in flight."""
 
 MIN_SUCCESS_SHARE = 0.05
 SUCCESS_GAIN = 0.1
--- a/damaskbay/core/routing/demand.py
+++ b/damaskbay/core/routing/demand.py
@@ -23,7 +23,7 @@
 
     def __init__(self, now: float) -> None:
         self._refreshed_at = now
-        self._share = 1.0
+        self._fair_count_share = 1.0
         self._fair_count = float("inf")
         self._by_workspace: dict[str, _WorkspaceDemand] = {}
 
@@ -40,7 +40,7 @@
         if elapsed_s < DEMAND_REFRESH_S:
             return
         self._refreshed_at = now
-        self._share = -1.0
+        self._fair_count_share = -1.0
         factor = 0.5 ** (elapsed_s / DEMAND_HALF_LIFE_S)
         for name, entry in tuple(self._by_workspace.items()):
             entry.count *= factor
@@ -52,8 +52,8 @@
         """Return the pass probability for a workspace if `share` of all calls pass."""
         if not entry.sampled_count:
             return share
-        if share != self._share:
-            self._share = share
+        if share != self._fair_count_share:
+            self._fair_count_share = share
             self._fair_count = self._fair_count_per_weight(share)
         return min(1.0, self._fair_count * entry.weight / entry.sampled_count)
 
@@ -84,7 +84,7 @@
     def __init__(self) -> None:
         self._by_pool_and_rank: dict[tuple[str, int], _RankDemand] = {}
 
-    def pass_share(
+    def record_call(
         self,
         pool: str,
         rank: int,
@@ -94,7 +94,11 @@
         share: float,
         now: float,
     ) -> float:
-        """Count one call; return the probability at which it should pass, 0 to 1."""
+        """
+        Count one call; return the probability at which it should pass, 0 to 1.
+
+        `share` is the share of all calls of the rank that can pass.
+        """
         demand = self._by_pool_and_rank.get((pool, rank))
         if demand is None:
             demand = self._by_pool_and_rank[pool, rank] = _RankDemand(now)
@@ -105,14 +109,14 @@
         return demand.pass_share(entry, share)
 
 
-def wait_by_share_s(
+def random_retry_delay_s(
     share: float, shortest_s: float, longest_s: float, rng: Random
 ) -> float:
     """
     Return a random retry delay for a refused call, in seconds.
 
-    Its mean grows from `shortest_s` to `longest_s` as the share of calls that pass
-    shrinks. Jitter spreads the retries of the callers.
+    Its mean grows from `shortest_s` to `longest_s` as `share`, the share of calls
+    that pass, shrinks. Jitter spreads the retries of the callers.
     """
     mean_s = longest_s if share <= 0.0 else min(longest_s, shortest_s / share)
     return rng.uniform(0.5, 1.5) * mean_s
--- a/damaskbay/core/routing/health.py
+++ b/damaskbay/core/routing/health.py
@@ -13,8 +13,8 @@
     EJECTION_BASE_S,
     EJECTION_JITTER_SHARE,
     EJECTION_MAX_S,
+    LEVEL_EXPIRY_S,
     LEVEL_FRESH_S,
-    LEVEL_GONE_S,
     LOAD_EXPIRY_S,
     LOAD_REPLACE_AFTER_S,
     MIN_SUCCESS_SHARE,
@@ -53,7 +53,7 @@
     Reason.DEADLINE_PASSED: FailureKind.TIMEOUT,
     Reason.CANCELLED: FailureKind.CANCELLED,
 }
-"""The failure kind that a refusal of a sent call counts as."""
+"""Failure kind by the reason with which a call was refused after it was sent."""
 
 _SERVER_FAILURES = frozenset(
     {
@@ -97,7 +97,12 @@
         self._in_flight_at_load_update = 0
 
     def update(self, view: ServerView, now: float) -> None:
-        """Update from a fleet report; an unchanged load doesn't count as fresh."""
+        """
+        Update from a fleet report.
+
+        A changed load replaces one older than LOAD_REPLACE_AFTER_S; an unchanged one
+        doesn't count as fresh.
+        """
         self.last_seen_at = now
         if (
             view.load != self._load
@@ -106,15 +111,15 @@
             self._update_load(view.load, now)
 
     def pass_share(self, rank: int, now: float) -> float:
-        """Return the share of calls of a rank that the server can handle, 0 to 1."""
+        """Return the share of a rank's calls to let pass, 0 to 1; 1 without a level."""
         share = pass_share(self._level, rank)
         age_s = now - self._level_updated_at
         if age_s <= LEVEL_FRESH_S:
             return share
-        if age_s >= LEVEL_GONE_S:
+        if age_s >= LEVEL_EXPIRY_S:
             return 1.0
-        expired_share = (age_s - LEVEL_FRESH_S) / (LEVEL_GONE_S - LEVEL_FRESH_S)
-        return share + (1.0 - share) * expired_share
+        expired_fraction = (age_s - LEVEL_FRESH_S) / (LEVEL_EXPIRY_S - LEVEL_FRESH_S)
+        return share + (1.0 - share) * expired_fraction
 
     def warmth(self, view: ServerView, now: float) -> float:
         """Return the usable share of the capacity, below 1 during slow start."""
@@ -130,7 +135,12 @@
         return (self.in_flight + 1) / (max(1, view.slots) * self.warmth(view, now))
 
     def reported_occupancy(self, view: ServerView, now: float) -> float:
-        """Return the calls per warm slot, using the load reported by the target."""
+        """
+        Return the calls per warm slot, including one more call.
+
+        Counts the target's reported load and the calls sent since, or the calls in
+        flight from this daemon if they are more or the report has expired.
+        """
         warmth = self.warmth(view, now)
         slots = view.slots or 1
         per_slot = (self.in_flight + 1) / slots
@@ -204,7 +214,7 @@
         )
 
     def eject(self, now: float, rng: Random) -> None:
-        """Eject the server, with exponential backoff on repeated ejections."""
+        """Eject the server; the time doubles with each ejection, up to a maximum."""
         duration_s = min(EJECTION_MAX_S, EJECTION_BASE_S * 2.0**self._ejections)
         jitter = rng.uniform(1.0 - EJECTION_JITTER_SHARE, 1.0)
         self._ejected_until = now + duration_s * jitter
--- a/damaskbay/core/routing/router.py
+++ b/damaskbay/core/routing/router.py
@@ -13,11 +13,11 @@
     HEALTH_EXPIRY_S,
     LOCAL_MAX_OCCUPANCY,
     MAX_EJECTED_SHARE,
-    PASS_LOWEST,
+    MIN_PASS_SHARE,
     REMOTE_PENALTY,
     SAMPLE_SIZE,
 )
-from damaskbay.core.routing.demand import DemandMeter, wait_by_share_s
+from damaskbay.core.routing.demand import DemandMeter, random_retry_delay_s
 from damaskbay.core.routing.health import Health, RouteOutcome
 from damaskbay.ports.fleet import ServerState, ServerView
 
@@ -118,8 +118,8 @@
 
         The decision uses the admission levels in responses, which expire. If a rank
         is shed completely but the rank above passes, a small share of its calls passes
-        anyway, so that recovery is detected. Within a rank, workspaces get
-        shares by `weight` of the calls that pass. Deep calls are refused less often
+        anyway, so that recovery is detected. Within a rank, the calls that pass are
+        divided among workspaces by `weight`. Deep calls are refused less often
         than new call trees, because more work would be wasted.
         """
         allowed = self._sample(self._eligible_servers(servers, other_domains))
@@ -128,8 +128,8 @@
         share = self._pool_pass_share(allowed, context.priority_rank, now)
         if share <= 0.0:
             share_above = self._pool_pass_share(allowed, context.priority_rank - 1, now)
-            share = PASS_LOWEST if share_above >= 1.0 else 0.0
-        pass_probability = self._demand.pass_share(
+            share = MIN_PASS_SHARE if share_above >= 1.0 else 0.0
+        pass_probability = self._demand.record_call(
             context.pool,
             context.priority_rank,
             context.workspace,
@@ -199,7 +199,7 @@
         return None
 
     def _without_ejected(self, servers: list[ServerView]) -> list[ServerView]:
-        """Leave out ejected servers unless they exceed MAX_EJECTED_SHARE of all."""
+        """Return those not ejected, or all if over MAX_EJECTED_SHARE are ejected."""
         ejected = {
             view.instance
             for view in servers
@@ -250,7 +250,7 @@
         """
         Return the better of two random servers.
 
-        With `trust_load` the best server of the local domain replaces the first.
+        With `trust_load`, the best server of the local domain replaces one of them.
         """
         if len(servers) == 1:
             return servers[0]
@@ -298,7 +298,7 @@
         return total / slots
 
     def _retry_delay_s(self, share: float) -> float:
-        """Return a random retry delay in seconds, longer the fewer calls pass."""
-        return wait_by_share_s(
+        """Return a random retry delay in seconds, longer for a smaller pass share."""
+        return random_retry_delay_s(
             share, EARLY_RETRY_AFTER_S, EARLY_RETRY_AFTER_MAX_S, self._rng
         )
--- a/damaskbay/ports/peer.py
+++ b/damaskbay/ports/peer.py
@@ -67,7 +67,7 @@
 
 
 Handler = Callable[[PeerIdentity, Any, Responder], None]
-"""Runs on the task that owns the stream, so it must not block but hand work on."""
+"""Message handler; runs on the task that owns the stream, so it must not block."""
 
 
 class PeerLink(Protocol):
--- a/tests/core/dissemination/test_dissemination.py
+++ b/tests/core/dissemination/test_dissemination.py
@@ -50,9 +50,9 @@
     ]
     assert sorted(child for _, child in reached) == sorted(set(orders) - {root})
     for parent, child in reached:
-        asked = orders[child].parent(root, fanout)
-        assert asked is not None
-        assert asked.instance == parent
+        found_parent = orders[child].parent(root, fanout)
+        assert found_parent is not None
+        assert found_parent.instance == parent
     assert orders[root].parent(root, fanout) is None
 
 
@@ -156,7 +156,7 @@
 @settings(derandomize=True, max_examples=50)
 @given(st.lists(st.tuples(st.integers(-5, 70), st.binary(max_size=20)), max_size=4))
 def test_hostile_parts_are_refused(items: list[tuple[int, bytes]]) -> None:
-    """Arbitrary parts cause no exception and leave the active set."""
+    """Arbitrary parts cause no exception and leave the active set unchanged."""
     holder = _holder()
     numbers = tuple(number for number, _ in items)
     bodies = tuple(body for _, body in items)
--- a/tests/core/membership/test_swim.py
+++ b/tests/core/membership/test_swim.py
@@ -112,10 +112,10 @@
     network = Network()
     names = network.start(12)
     network.is_lost = lambda _source, target: target == "m1"
-    hearing = [name for name in names if name != "m1"]
+    receiving = [name for name in names if name != "m1"]
     for _ in range(200):
         network.run(TICK_S)
-        for name in hearing:
+        for name in receiving:
             seen = pool_of(network.swim_by_name[name]) | {"m1"}
             assert len(seen) == 12
     network.is_lost = lambda _source, _target: False
--- a/tests/core/routing/test_router.py
+++ b/tests/core/routing/test_router.py
@@ -118,11 +118,11 @@
     for _ in range(3):
         assert choose(router, SERVERS, now) == "s0"
         router.started("s0", now)
-        assert choose(router, SERVERS, now) != "s0", "one at a time"
+        assert choose(router, SERVERS, now) != "s0", "one probe at a time"
         router.finished("s0", outcome(), now)
         now += 0.3
     chosen = spread(router, SERVERS, 200, now=now)
-    assert 0 < chosen["s0"] < 40, "slow start after the trickle"
+    assert 0 < chosen["s0"] < 40, "slow start after the probes"
     assert spread(router, SERVERS, 200, now=now + 20.0)["s0"] >= 40
 
 
@@ -163,7 +163,7 @@
 
 
 def test_cold_server_starts_slowly() -> None:
-    """A server that became ready recently gets few calls, and its share later."""
+    """A server that just became ready gets few calls at first, its full share later."""
     cold = server("cold", slots=330, ready_at=0.0)
     servers = (cold, *(server(f"s{number}", slots=330) for number in range(3)))
     early = spread(make_router(), servers, 200, now=1.0)
--- a/tests/core/test_at_most_once.py
+++ b/tests/core/test_at_most_once.py
@@ -61,7 +61,7 @@
 
     @rule(name=st.sampled_from(DAEMONS), count=st.integers(1, 3))
     def issue(self, name: str, count: int) -> None:
-        """Issue ids, most of which are used later or never."""
+        """Issue ids, each of which may be sent later or never."""
         self.ids.extend(self.owners[name].issue(count, self.now))
 
     @rule(choice=st.integers(0, 30))
