--- a/damaskbay/cli/platform_option.py
+++ b/damaskbay/cli/platform_option.py
@@ -14,7 +14,7 @@
     EXIT_USAGE,
 )
 from damaskbay.cli.operator_client import parse_address
-from damaskbay.config.document import EMPTY, Document
+from damaskbay.config.document import EMPTY_DOCUMENT, Document
 from damaskbay.config.exceptions import LoadFailure, LoadProblem
 from damaskbay.config.head import HeadRecord
 from damaskbay.config.store import ConfigStore, Head
@@ -89,7 +89,7 @@
 def read_set(store: ConfigStore, record: HeadRecord | None) -> Document:
     """Return the set of a record; without a record the empty set."""
     if record is None:
-        return EMPTY
+        return EMPTY_DOCUMENT
     document = store.load(record)
     if isinstance(document, LoadFailure):
         raise _stop(document)
--- a/damaskbay/config/__init__.py
+++ b/damaskbay/config/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' set: models at the border, frozen data classes inside."""
+"""The configuration set: pydantic models for input, frozen data classes inside."""
--- a/damaskbay/config/call_graph.py
+++ b/damaskbay/config/call_graph.py
@@ -1,4 +1,4 @@
-"""The graph of which route calls which: circles, chains and reach."""
+"""The call graph of routes: cycles, chain lengths and reachability."""
 
 from collections.abc import Collection, Iterator, Mapping
 
@@ -7,55 +7,55 @@
 _Routes = Mapping[str, Route]
 
 
-def cycles(routes: _Routes) -> tuple[tuple[str, ...], ...]:
-    """Return one circle of calls for each call that closes one."""
+def find_cycles(routes: _Routes) -> tuple[tuple[str, ...], ...]:
+    """Return one cycle, as route names, for each call that closes a cycle."""
     found: list[tuple[str, ...]] = []
-    done: set[str] = set()
+    visited: set[str] = set()
     for name in routes:
-        if name not in done and routes[name].calls:
-            found.extend(_cycles_from(name, routes, done))
+        if name not in visited and routes[name].calls:
+            found.extend(_cycles_from(name, routes, visited))
     return tuple(found)
 
 
 def chain_lengths(routes: _Routes, in_cycles: Collection[str]) -> dict[str, int]:
     """
-    Return how many calls the longest chain from each route has, itself included.
+    Return the length of the longest call chain from each route, counting the route.
 
-    Routes that lie on a circle, and those that reach one, are left out.
+    Routes on a cycle, and those that reach one, are omitted.
     """
     lengths: dict[str, int] = {}
-    endless = set(in_cycles)
+    cyclic = set(in_cycles)
     for root in routes:
         stack = [root]
         while stack:
             name = stack[-1]
             callees = _callees(name, routes)
-            open_ones = [
+            pending = [
                 callee
                 for callee in callees
-                if callee not in lengths and callee not in endless
+                if callee not in lengths and callee not in cyclic
             ]
-            if name in endless or name in lengths:
+            if name in cyclic or name in lengths:
                 stack.pop()
-            elif any(callee in endless for callee in callees):
-                endless.add(name)
-            elif open_ones:
-                stack.extend(open_ones)
+            elif any(callee in cyclic for callee in callees):
+                cyclic.add(name)
+            elif pending:
+                stack.extend(pending)
             else:
                 longest = max((lengths[callee] for callee in callees), default=0)
                 lengths[name] = longest + 1
     return lengths
 
 
-def reach(name: str, routes: _Routes) -> set[str]:
-    """Return the routes that a route calls, directly or through others."""
+def reachable_routes(name: str, routes: _Routes) -> set[str]:
+    """Return the names of the routes that a route calls, directly or transitively."""
     found: set[str] = set()
-    open_ones = [name]
-    while open_ones:
-        for callee in _callees(open_ones.pop(), routes):
+    pending = [name]
+    while pending:
+        for callee in _callees(pending.pop(), routes):
             if callee not in found:
                 found.add(callee)
-                open_ones.append(callee)
+                pending.append(callee)
     return found
 
 
@@ -64,21 +64,21 @@
 
 
 def _cycles_from(
-    root: str, routes: _Routes, done: set[str]
+    root: str, routes: _Routes, visited: set[str]
 ) -> Iterator[tuple[str, ...]]:
-    """Search in depth; `done` gets every route whose calls were all looked at."""
+    """Search depth-first; a route is added to `visited` after all its calls."""
     path = [root]
     on_path = {root: 0}
-    rest = [iter(_callees(root, routes))]
+    iterators = [iter(_callees(root, routes))]
     while path:
-        callee = next(rest[-1], None)
+        callee = next(iterators[-1], None)
         if callee is None:
-            done.add(path[-1])
+            visited.add(path[-1])
             del on_path[path.pop()]
-            rest.pop()
+            iterators.pop()
         elif callee in on_path:
             yield tuple(path[on_path[callee] :])
-        elif callee not in done:
+        elif callee not in visited:
             on_path[callee] = len(path)
             path.append(callee)
-            rest.append(iter(_callees(callee, routes)))
+            iterators.append(iter(_callees(callee, routes)))
--- a/damaskbay/config/canonical.py
+++ b/damaskbay/config/canonical.py
@@ -1,4 +1,4 @@
-"""The one form in which objects are hashed, stored and sent."""
+"""The canonical JSON form in which objects are hashed, stored and sent."""
 
 import hashlib
 import json
@@ -12,7 +12,7 @@
 from damaskbay.config.objects import ConfigObject, Kind
 
 Plain = dict[str, Any]
-"""An object as JSON has it, without its name."""
+"""The JSON form of an object, without its name."""
 
 _DEFAULTS_BY_CLASS = {
     cls: tuple((item.name, item.default) for item in fields(cls) if item.name != "name")
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """Canonical bytes of the objects of one bucket, with their SHA-256 in hex."""
+    """The canonical bytes of one bucket of objects, with their SHA-256 in hex."""
 
     digest: str
     body: bytes
@@ -30,9 +30,9 @@
 
 def to_plain(item: ConfigObject) -> Plain:
     """
-    Return the JSON form of an object, without the fields that hold a default.
+    Return the JSON form of an object, without fields at their default.
 
-    So a field that a later version adds does not change the digest of older sets.
+    Omitting defaults keeps the digest of an older set when a field is added.
     """
     plain: Plain = {}
     for name, default in _DEFAULTS_BY_CLASS[type(item)]:
@@ -43,31 +43,31 @@
 
 
 def to_text(plain: Any) -> str:
-    """Return canonical JSON: sorted names, no spaces, ASCII."""
+    """Return canonical JSON: sorted keys, no spaces, ASCII only."""
     return json.dumps(plain, sort_keys=True, separators=(",", ":"))
 
 
-def bucket_of(kind: Kind, name: str) -> int:
-    """Return the number of the part that holds an object."""
+def part_index(kind: Kind, name: str) -> int:
+    """Return the index of the part that holds an object."""
     digest = hashlib.sha256(f"{kind.value}/{name}".encode()).digest()
     return digest[0] % PART_COUNT
 
 
 def make_part(plain_by_kind: dict[str, dict[str, Plain]]) -> Part:
-    """Return the part that holds these objects."""
+    """Return the part that holds these objects, given by kind and name."""
     filled = {kind: objects for kind, objects in plain_by_kind.items() if objects}
     body = to_text(filled).encode()
     return Part(hashlib.sha256(body).hexdigest(), body)
 
 
 def read_part(part: Part) -> dict[str, dict[str, Plain]]:
-    """Return the objects of a part made by `make_part`."""
+    """Return the objects of a part made by `make_part`, by kind and name."""
     result: dict[str, dict[str, Plain]] = json.loads(part.body)
     return result
 
 
 def digest_of(parts: Iterable[Part]) -> str:
-    """Return the digest of a whole set: SHA-256 over its parts' digests, in hex."""
+    """Return the digest of a set: SHA-256 over the digests of its parts, in hex."""
     joined = "\n".join(part.digest for part in parts)
     return hashlib.sha256(joined.encode()).hexdigest()
 
--- a/damaskbay/config/check.py
+++ b/damaskbay/config/check.py
@@ -1,4 +1,4 @@
-"""The check of a whole set: every fault at once."""
+"""Checks of a complete configuration set; all problems are reported at once."""
 
 from collections import defaultdict
 from collections.abc import Collection, Iterable, Iterator, Mapping
@@ -6,18 +6,18 @@
 
 from damaskbay.config.check_routes import route_problems
 from damaskbay.config.const import MAX_DOCUMENT_BYTES, MAX_PROBLEMS
-from damaskbay.config.document import Document, dict_of, make_document
+from damaskbay.config.document import Document, make_document, objects_dict
 from damaskbay.config.exceptions import Problem, Problems
 from damaskbay.config.objects import Key, Kind, Pool, Priority
-from damaskbay.config.parsing import ObjectsByKind, Shape, read_shape
+from damaskbay.config.parsing import ObjectsByKind, ParsedObjects, parse_objects
 
 
 def read_checked(data: bytes | dict[str, Any]) -> Document | Problems:
     """
-    Read and check a document; return it, or every fault of shape and of sense.
+    Parse and check a document; return it, or all its problems.
 
-    An object with a fault of shape still counts as named, so that one fault does
-    not bring further ones.
+    The name of an object that fails validation still counts as defined, so that
+    references to it are not reported as further problems.
     """
     return read_checked_with_base(data)[0]
 
@@ -25,33 +25,33 @@
 def read_checked_with_base(
     data: bytes | dict[str, Any],
 ) -> tuple[Document | Problems, int | None]:
-    """Do as `read_checked`; return the version that the document is based on too."""
-    shape = read_shape(data)
-    return _finish(shape), shape.based_on_version
+    """Return the result of `read_checked` and the version the document is based on."""
+    parsed = parse_objects(data)
+    return _check_parsed(parsed), parsed.based_on_version
 
 
-def _finish(shape: Shape) -> Document | Problems:
-    problems = list(shape.problems)
+def _check_parsed(parsed: ParsedObjects) -> Document | Problems:
+    problems = list(parsed.problems)
     names = {
-        kind: by_name.keys() | shape.broken[kind]
-        for kind, by_name in shape.objects.items()
+        kind: by_name.keys() | parsed.invalid_names[kind]
+        for kind, by_name in parsed.objects.items()
     }
-    problems.extend(_sense_problems(shape.objects, names))
+    problems.extend(_consistency_problems(parsed.objects, names))
     if problems:
-        return _bounded(problems)
-    document = make_document(shape.objects)
+        return _sort_and_limit(problems)
+    document = make_document(parsed.objects)
     return size_problems(document) or document
 
 
 def check(document: Document) -> Problems:
-    """Return every fault of how the objects fit together; empty: none."""
-    objects = {kind: dict_of(document, kind) for kind in Kind}
+    """Return all inconsistencies between objects; empty if there are none."""
+    objects = {kind: objects_dict(document, kind) for kind in Kind}
     names = {kind: by_name.keys() for kind, by_name in objects.items()}
-    problems = [*size_problems(document), *_sense_problems(objects, names)]
-    return _bounded(problems)
+    problems = [*size_problems(document), *_consistency_problems(objects, names)]
+    return _sort_and_limit(problems)
 
 
-def _sense_problems(
+def _consistency_problems(
     objects: ObjectsByKind, names: Mapping[Kind, Collection[str]]
 ) -> Iterator[Problem]:
     keys = objects[Kind.KEYS]
@@ -65,7 +65,7 @@
 def workspace_problems(
     keys: Iterable[Key], workspaces: Collection[str]
 ) -> Iterator[Problem]:
-    """Yield keys of workspaces that there are not."""
+    """Yield a problem for each key whose workspace does not exist."""
     for key in keys:
         if key.workspace not in workspaces:
             yield Problem(
@@ -78,7 +78,7 @@
 
 
 def digest_problems(keys: Iterable[Key]) -> Iterator[Problem]:
-    """Yield keys whose digest another key has too."""
+    """Yield a problem for each key that shares its digest with an earlier key."""
     first_by_digest: dict[str, str] = {}
     for key in keys:
         first = first_by_digest.setdefault(key.digest, key.name)
@@ -93,7 +93,7 @@
 
 
 def rank_problems(priorities: Iterable[Priority]) -> Iterator[Problem]:
-    """Yield priorities whose rank another one has too."""
+    """Yield a problem for each priority that shares its rank with an earlier one."""
     names_by_rank: dict[int, list[str]] = defaultdict(list)
     for priority in priorities:
         names_by_rank[priority.rank].append(priority.name)
@@ -109,7 +109,7 @@
 
 
 def pool_problems(pools: Iterable[Pool]) -> Iterator[Problem]:
-    """Yield pools whose figures contradict each other."""
+    """Yield a problem for each pool with fewer connections than slots."""
     for pool in pools:
         if pool.connections_per_server < pool.slots_per_server:
             yield Problem(
@@ -123,7 +123,7 @@
 
 
 def size_problems(document: Document) -> Problems:
-    """Return the fault of a document that is too large, if it is."""
+    """Return a problem if the document is too large, else an empty tuple."""
     size = document.size_bytes
     if size <= MAX_DOCUMENT_BYTES:
         return ()
@@ -131,11 +131,11 @@
     return (Problem("", "", "", what, "Remove objects."),)
 
 
-def _bounded(problems: Iterable[Problem]) -> Problems:
-    """Return the problems in a steady order, up to a limit."""
-    ordered = sorted(set(problems), key=_order)
+def _sort_and_limit(problems: Iterable[Problem]) -> Problems:
+    """Return the distinct problems in a stable order, at most MAX_PROBLEMS."""
+    ordered = sorted(set(problems), key=_sort_key)
     return tuple(ordered[:MAX_PROBLEMS])
 
 
-def _order(problem: Problem) -> tuple[str, str, str, str]:
+def _sort_key(problem: Problem) -> tuple[str, str, str, str]:
     return problem.object_kind, problem.name, problem.field, problem.what
--- a/damaskbay/config/check_changed.py
+++ b/damaskbay/config/check_changed.py
@@ -1,10 +1,10 @@
-"""The check of a set that came from a checked one by a few changes."""
+"""Incremental check of a set that differs from a checked set by a few changes."""
 
 from collections import defaultdict
 from collections.abc import Collection, Iterator, Mapping
 from itertools import chain
 
-from damaskbay.config.call_graph import reach
+from damaskbay.config.call_graph import reachable_routes
 from damaskbay.config.check import (
     check,
     digest_problems,
@@ -13,11 +13,11 @@
     size_problems,
     workspace_problems,
 )
-from damaskbay.config.check_routes import local_problems
-from damaskbay.config.const import MAX_LOCAL_CHANGES
+from damaskbay.config.check_routes import problems_except_limits
+from damaskbay.config.const import MAX_INCREMENTAL_CHANGES
 from damaskbay.config.document import Change, Document
 from damaskbay.config.exceptions import Problem, Problems
-from damaskbay.config.matching import normal_prefix
+from damaskbay.config.matching import normalize_prefix
 from damaskbay.config.objects import Key, Kind, Pool, Route
 
 _REMOVABLE = frozenset({Kind.KEYS, Kind.ROUTES})
@@ -27,38 +27,41 @@
     before: Document, after: Document, changes: Collection[Change]
 ) -> Problems:
     """
-    Check a document that came from a checked one by some changes.
+    Return the problems of a document that changes a checked one.
 
-    Returns what `check(after)` returns. Looks first at what the changes can have
-    made wrong, and at the whole only where that is not enough to tell.
+    The result equals `check(after)`. Only what the changes can have broken is
+    checked first; the complete set is checked if that finds a problem, or if the
+    changes can affect objects that the first check does not cover.
     """
-    if _is_local(before, changes) and not any(_problems(before, after, changes)):
+    if _effects_are_local(before, changes) and not any(
+        _change_problems(before, after, changes)
+    ):
         return ()
     return check(after)
 
 
-def _is_local(before: Document, changes: Collection[Change]) -> bool:
-    """Tell whether the faults that the changes can bring lie close to them."""
-    if len(changes) > MAX_LOCAL_CHANGES:
+def _effects_are_local(before: Document, changes: Collection[Change]) -> bool:
+    """Return whether `_change_problems` covers all that the changes can break."""
+    if len(changes) > MAX_INCREMENTAL_CHANGES:
         return False
     for change in changes:
         if change.kind is Kind.LIMITS:
             return False
         if change.item is None and change.kind not in _REMOVABLE:
             return False
-        if change.kind is Kind.ROUTES and _has_limits(before, change):
+        if change.kind is Kind.ROUTES and _uses_limits(before, change):
             return False
     return True
 
 
-def _has_limits(before: Document, change: Change) -> bool:
-    """Tell whether a route refers to limits, now or before."""
+def _uses_limits(before: Document, change: Change) -> bool:
+    """Return whether a route refers to limits, before or after the change."""
     old = before.routes_by_name.get(change.name)
     new = change.item
     return bool(old and old.limits) or (isinstance(new, Route) and bool(new.limits))
 
 
-def _problems(
+def _change_problems(
     before: Document, after: Document, changes: Collection[Change]
 ) -> Iterator[Problem]:
     items = [change.item for change in changes if change.item is not None]
@@ -76,25 +79,27 @@
         yield from digest_problems(same)
     if routes:
         names = {kind: after.objects(kind).keys() for kind in Kind}
-        some = _affected(routes, after.routes_by_name)
-        yield from local_problems(some, after.routes_by_name, names)
+        affected = _affected(routes, after.routes_by_name)
+        yield from problems_except_limits(affected, after.routes_by_name, names)
 
 
 def _affected(changed: set[str], routes: Mapping[str, Route]) -> dict[str, Route]:
     """
-    Return the routes that a change of some routes can make wrong, in order.
+    Return the routes that a change of some routes can break, in document order.
 
-    These are all that call the changed ones or are called by them, directly or
-    through others, and those of the same host and path prefix.
+    These are the callers and callees of the changed routes, direct or transitive,
+    and the routes with the same host and path prefix.
     """
-    standing = [name for name in changed if name in routes]
-    places = {_place(routes[name]) for name in standing}
-    found = _callers(changed, routes) | set(standing)
-    found.update(chain.from_iterable(reach(name, routes) for name in standing))
+    remaining = [name for name in changed if name in routes]
+    match_keys = {_match_key(routes[name]) for name in remaining}
+    found = _callers(changed, routes) | set(remaining)
+    found.update(
+        chain.from_iterable(reachable_routes(name, routes) for name in remaining)
+    )
     return {
         name: route
         for name, route in routes.items()
-        if name in found or _place(route) in places
+        if name in found or _match_key(route) in match_keys
     }
 
 
@@ -104,14 +109,14 @@
         for callee in route.calls:
             callers_by_name[callee].append(route.name)
     found: set[str] = set()
-    open_ones = list(changed)
-    while open_ones:
-        for caller in callers_by_name.get(open_ones.pop(), ()):
+    pending = list(changed)
+    while pending:
+        for caller in callers_by_name.get(pending.pop(), ()):
             if caller not in found:
                 found.add(caller)
-                open_ones.append(caller)
+                pending.append(caller)
     return found
 
 
-def _place(route: Route) -> tuple[str, str]:
-    return route.host, normal_prefix(route.path_prefix)
+def _match_key(route: Route) -> tuple[str, str]:
+    return route.host, normalize_prefix(route.path_prefix)
--- a/damaskbay/config/check_routes.py
+++ b/damaskbay/config/check_routes.py
@@ -1,12 +1,12 @@
-"""The check of routes: references, overlaps, call chains, retries and limits."""
+"""Checks of routes: references, overlaps, call chains, retries and limits."""
 
 from collections import defaultdict
 from collections.abc import Collection, Iterable, Iterator, Mapping
 
-from damaskbay.config.call_graph import chain_lengths, cycles, reach
+from damaskbay.config.call_graph import chain_lengths, find_cycles, reachable_routes
 from damaskbay.config.const import ANY_HOST
 from damaskbay.config.exceptions import Problem
-from damaskbay.config.matching import normal_prefix, plain_host, safe_path
+from damaskbay.config.matching import normalize_host, normalize_prefix, split_path
 from damaskbay.config.objects import Access, Kind, Limit, LimitScope, Route
 from damaskbay.config.parsing import ObjectsByKind
 from damaskbay.const import MAX_CALL_DEPTH
@@ -17,24 +17,24 @@
 def route_problems(
     objects: ObjectsByKind, names: Mapping[Kind, Collection[str]]
 ) -> Iterator[Problem]:
-    """Yield the faults of routes; `names` holds broken objects' names too."""
+    """Yield the problems of all routes; `names` includes names of invalid objects."""
     routes: _Routes = objects[Kind.ROUTES]
     limits: Mapping[str, Limit] = objects[Kind.LIMITS]
-    yield from local_problems(routes, routes, names)
+    yield from problems_except_limits(routes, routes, names)
     yield from _limit_problems(routes, limits)
 
 
-def local_problems(
-    some: _Routes, routes: _Routes, names: Mapping[Kind, Collection[str]]
+def problems_except_limits(
+    checked: _Routes, routes: _Routes, names: Mapping[Kind, Collection[str]]
 ) -> Iterator[Problem]:
-    """Yield the faults of some of the routes, but for those of their limits."""
-    for route in some.values():
+    """Yield the problems of the routes in `checked`, except those of their limits."""
+    for route in checked.values():
         yield from _reference_problems(route, names)
         yield from _callee_problems(route, routes)
         yield from _unreachable_problems(route)
-    yield from _overlap_problems(some)
-    yield from _chain_problems(some)
-    yield from _retry_problems(some.values(), routes)
+    yield from _overlap_problems(checked)
+    yield from _chain_problems(checked)
+    yield from _retry_problems(checked.values(), routes)
 
 
 def _problem(route: Route, field: str, what: str, mend: str) -> Problem:
@@ -50,8 +50,8 @@
         ("limits", Kind.LIMITS, route.limits),
         ("calls", Kind.ROUTES, route.calls),
     )
-    for field, kind, named in references:
-        for name in named:
+    for field, kind, referenced in references:
+        for name in referenced:
             if name not in names[kind]:
                 yield _problem(
                     route,
@@ -85,10 +85,10 @@
 
 
 def _unreachable_problems(route: Route) -> Iterator[Problem]:
-    if route.host != ANY_HOST and route.host != plain_host(route.host):
-        mend = f"Write {plain_host(route.host)!r} instead."
+    if route.host != ANY_HOST and route.host != normalize_host(route.host):
+        mend = f"Write {normalize_host(route.host)!r} instead."
         yield _problem(route, "host", "no request has this host", mend)
-    if ";" in route.path_prefix and safe_path(route.path_prefix) is None:
+    if ";" in route.path_prefix and split_path(route.path_prefix) is None:
         yield _problem(
             route,
             "path_prefix",
@@ -98,31 +98,31 @@
 
 
 def _overlap_problems(routes: _Routes) -> Iterator[Problem]:
-    routes_by_place: dict[tuple[str, str], list[Route]] = defaultdict(list)
+    routes_by_match_key: dict[tuple[str, str], list[Route]] = defaultdict(list)
     for route in routes.values():
-        place = (route.host, normal_prefix(route.path_prefix))
-        routes_by_place[place].append(route)
-    for same_place in routes_by_place.values():
+        match_key = (route.host, normalize_prefix(route.path_prefix))
+        routes_by_match_key[match_key].append(route)
+    for same_match in routes_by_match_key.values():
         first_by_method: dict[str, Route] = {}
-        for route in same_place:
-            yield from _shared_methods(route, first_by_method, same_place)
+        for route in same_match:
+            yield from _method_overlaps(route, first_by_method, same_match)
 
 
-def _shared_methods(
-    route: Route, first_by_method: dict[str, Route], same_place: list[Route]
+def _method_overlaps(
+    route: Route, first_by_method: dict[str, Route], same_match: list[Route]
 ) -> Iterator[Problem]:
-    """Yield one problem for each other route that takes some of the methods."""
-    others: dict[str, set[str]] = defaultdict(set)
+    """Yield a problem for each earlier route that matches some of the methods."""
+    methods_by_route: dict[str, set[str]] = defaultdict(set)
     for method in route.methods:
         first = first_by_method.setdefault(method, route)
         if first is not route:
-            others[first.name].add(method)
-    for other in same_place:
+            methods_by_route[first.name].add(method)
+    for other in same_match:
         if other is route:
             break
         if not other.methods or not route.methods:
-            others[other.name].add("every method")
-    for name, methods in others.items():
+            methods_by_route[other.name].add("every method")
+    for name, methods in methods_by_route.items():
         yield _problem(
             route,
             "path_prefix",
@@ -134,7 +134,7 @@
 
 def _chain_problems(routes: _Routes) -> Iterator[Problem]:
     in_cycles: set[str] = set()
-    for cycle in cycles(routes):
+    for cycle in find_cycles(routes):
         in_cycles.update(cycle)
         path = " -> ".join((*cycle, cycle[0]))
         yield _problem(
@@ -153,11 +153,13 @@
             )
 
 
-def _retry_problems(some: Iterable[Route], routes: _Routes) -> Iterator[Problem]:
-    for route in some:
+def _retry_problems(checked: Iterable[Route], routes: _Routes) -> Iterator[Problem]:
+    for route in checked:
         if route.idempotent or route.retries == 0:
             continue
-        if not any(routes[name].idempotent for name in reach(route.name, routes)):
+        if not any(
+            routes[name].idempotent for name in reachable_routes(route.name, routes)
+        ):
             yield _problem(
                 route,
                 "retries",
@@ -173,8 +175,8 @@
         for name in route.limits:
             routes_by_limit[name].add(route.name)
     for route in routes.values():
-        known = [limits[name] for name in route.limits if name in limits]
-        for limit in known:
+        existing = [limits[name] for name in route.limits if name in limits]
+        for limit in existing:
             if limit.scope is LimitScope.WORKSPACE and route.access is Access.OPEN:
                 yield _problem(
                     route,
@@ -183,15 +185,15 @@
                     "but the route is open to all",
                     "Make the route keyed, or use a limit of scope 'route'.",
                 )
-        yield from _idle_limits(route, known, routes_by_limit)
+        yield from _redundant_limits(route, existing, routes_by_limit)
 
 
-def _idle_limits(
-    route: Route, known: list[Limit], routes_by_limit: Mapping[str, set[str]]
+def _redundant_limits(
+    route: Route, existing: list[Limit], routes_by_limit: Mapping[str, set[str]]
 ) -> Iterator[Problem]:
-    """Yield the limits that a tighter one keeps from ever counting."""
-    for loose in known:
-        for tight in known:
+    """Yield a problem for each limit that a tighter one makes redundant."""
+    for loose in existing:
+        for tight in existing:
             if (
                 loose.name != tight.name
                 and loose.scope is tight.scope
--- a/damaskbay/config/const.py
+++ b/damaskbay/config/const.py
@@ -1,11 +1,11 @@
-"""Sizes and bounds of a configuration set."""
+"""Limits, timeouts and storage keys of configuration sets."""
 
 from typing import Final
 
 DOCUMENT_FORMAT: Final = 1
 MAX_DOCUMENT_BYTES: Final = 16 * 1024 * 1024
 PART_COUNT: Final = 64
-"""Buckets that the objects of a set are spread over by the digest of their name."""
+"""Buckets of a set; the digest of an object's kind and name selects its bucket."""
 
 MAX_OBJECTS: Final = 100_000
 MAX_NAME_LENGTH: Final = 64
@@ -22,8 +22,8 @@
 MAX_DEADLINE_S: Final = 600.0
 MAX_UNPROVEN_AFTER_S: Final = 7 * 86_400.0
 MAX_PROBLEMS: Final = 1000
-MAX_LOCAL_CHANGES: Final = 200
-"""Above this many changes the whole set is checked at once."""
+MAX_INCREMENTAL_CHANGES: Final = 200
+"""With more changes, the complete set is checked instead of the changes."""
 
 ANY_HOST: Final = "*"
 
@@ -32,10 +32,10 @@
 HISTORY_PREFIX: Final = "damaskbay/config/history/"
 PENDING_PREFIX: Final = "damaskbay/config/pending/"
 HISTORY_VERSIONS: Final = 50
-"""Versions before the one in force that can still be shown."""
+"""Versions before the active one that are kept."""
 
-MAX_WHOLE_BYTES: Final = 64 * 1024
-"""A set up to this size is stored as one value, a larger one part by part."""
+MAX_SINGLE_VALUE_BYTES: Final = 64 * 1024
+"""A set up to this size is stored as one value, a larger one as one per part."""
 
 MAX_INLINE_DELTA_BYTES: Final = 16 * 1024
 MAX_AUTHOR_LENGTH: Final = 200
--- a/damaskbay/config/delta.py
+++ b/damaskbay/config/delta.py
@@ -1,4 +1,4 @@
-"""The difference of two sets, small where little changed."""
+"""Deltas: the object changes between two configuration sets."""
 
 import json
 from collections.abc import Iterator
@@ -6,7 +6,7 @@
 
 from damaskbay.config.canonical import to_plain, to_text
 from damaskbay.config.check_changed import check_changed
-from damaskbay.config.document import Change, Document, change_document
+from damaskbay.config.document import Change, Document, apply_changes
 from damaskbay.config.exceptions import DeltaFailure, DeltaProblem, Problems
 from damaskbay.config.objects import Kind
 from damaskbay.config.parsing import read_object
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectChange:
-    """One object as canonical JSON; None where it was removed."""
+    """One changed object: its canonical JSON, or None if it was removed."""
 
     kind: str
     name: str
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delta:
-    """What turns the set of `base_digest` into that of `digest` (both in hex)."""
+    """The changes from the set with `base_digest` to that with `digest` (in hex)."""
 
     base_digest: str
     digest: str
@@ -31,7 +31,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """Return about how many bytes the delta takes in a message."""
+        """Return the approximate size of the delta in a message."""
         texts = (
             len(change.kind) + len(change.name) + len(change.body or "")
             for change in self.changes
@@ -40,25 +40,24 @@
 
 
 def make_delta(old: Document, new: Document) -> Delta:
-    """Return what changed from one set to another."""
+    """Return the delta from one set to another."""
     changes = (_to_wire(change) for change in changes_between(old, new))
     return Delta(old.digest, new.digest, tuple(changes))
 
 
 def apply_delta(old: Document, delta: Delta) -> Document | DeltaFailure:
     """
-    Return the checked document that the delta leads to.
+    Return the checked document after the delta, or why it was rejected.
 
-    It is refused where it was made for another set, where an object is invalid,
-    where the resulting set has a fault, and where its digest is not the promised
-    one.
+    A delta is rejected if it was made for another set, if an object or the
+    resulting set is invalid, or if the resulting digest does not match.
     """
     if delta.base_digest != old.digest:
-        return DeltaFailure(DeltaProblem.OTHER_BASE, f"at hand: {old.digest}")
+        return DeltaFailure(DeltaProblem.OTHER_BASE, f"local set: {old.digest}")
     changes = _read_changes(delta)
     if isinstance(changes, DeltaFailure):
         return changes
-    new = change_document(old, changes)
+    new = apply_changes(old, changes)
     if new.digest != delta.digest:
         return DeltaFailure(DeltaProblem.DIGEST_MISMATCH, f"got {new.digest}")
     problems = check_changed(old, new, changes)
@@ -68,7 +67,7 @@
 
 
 def changes_between(old: Document, new: Document) -> Iterator[Change]:
-    """Yield every object that was added, changed or removed, by kind and name."""
+    """Yield each added, changed or removed object, ordered by kind and name."""
     for kind in Kind:
         before, after = old.objects(kind), new.objects(kind)
         if before is after:
--- a/damaskbay/config/document.py
+++ b/damaskbay/config/document.py
@@ -1,4 +1,4 @@
-"""One whole set of valid objects with its digest."""
+"""A complete set of valid objects with its digest."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
@@ -8,9 +8,9 @@
 from damaskbay.config.canonical import (
     Part,
     Plain,
-    bucket_of,
     digest_of,
     make_part,
+    part_index,
     read_part,
     to_plain,
     to_text,
@@ -28,17 +28,17 @@
     Route,
     Workspace,
 )
-from damaskbay.config.parsing import ObjectsByKind, read_shape
+from damaskbay.config.parsing import ObjectsByKind, parse_objects
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
     """
-    One whole set; each object is valid in itself.
+    A complete set in which each object is valid by itself.
 
-    Whether the objects fit together is told by config.check. Collections are
-    named by their key and never changed. `parts` holds the canonical bytes of
-    all objects, spread over a fixed count of buckets; `digest` is in hex.
+    config.check reports inconsistencies between objects. Collections are never
+    modified. `parts` holds the canonical bytes of all objects, spread over
+    PART_COUNT buckets; `digest` is in hex.
     """
 
     workspaces_by_name: Mapping[str, Workspace]
@@ -57,13 +57,13 @@
 
     @property
     def size_bytes(self) -> int:
-        """Return the size of the canonical form."""
+        """Return the size of all parts in bytes."""
         return sum(len(part.body) for part in self.parts)
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An object put in place of what stood there; None removes it."""
+    """A new or replaced object; None removes it."""
 
     kind: Kind
     name: str
@@ -72,53 +72,53 @@
 
 def parse_document(data: bytes | dict[str, Any]) -> Document | Problems:
     """
-    Read a document from JSON bytes or from what JSON decodes to.
+    Parse a document from JSON bytes or from decoded JSON.
 
-    Returns every fault of shape at once. Whether the objects fit together is not
-    looked at: see `config.check.read_checked`.
+    Returns all problems of single objects at once. References between objects
+    are not checked: see `config.check.read_checked`.
     """
-    shape = read_shape(data)
-    return tuple(shape.problems) if shape.problems else make_document(shape.objects)
+    parsed = parse_objects(data)
+    return tuple(parsed.problems) if parsed.problems else make_document(parsed.objects)
 
 
 def make_document(objects: ObjectsByKind) -> Document:
-    """Return the document of valid objects by kind and name."""
+    """Return the document of valid objects, given by kind and name."""
     buckets: list[dict[str, dict[str, Plain]]] = [
         defaultdict(dict) for _ in range(PART_COUNT)
     ]
     for kind, by_name in objects.items():
         for name, item in by_name.items():
-            buckets[bucket_of(kind, name)][kind.value][name] = to_plain(item)
-    return _assemble(objects, tuple(make_part(bucket) for bucket in buckets))
+            buckets[part_index(kind, name)][kind.value][name] = to_plain(item)
+    return _document_of(objects, tuple(make_part(bucket) for bucket in buckets))
 
 
-def change_document(document: Document, changes: Iterable[Change]) -> Document:
+def apply_changes(document: Document, changes: Iterable[Change]) -> Document:
     """
-    Return the document after some changes.
+    Return a copy of the document with the changes applied.
 
-    Only the parts that hold changed objects are made anew; collections of kinds
-    without a change stay the same objects.
+    Only parts with changed objects are rebuilt; the collections of kinds without
+    a change are shared with the old document.
     """
-    objects: ObjectsByKind = {kind: dict_of(document, kind) for kind in Kind}
+    objects: ObjectsByKind = {kind: objects_dict(document, kind) for kind in Kind}
     copied: set[Kind] = set()
     buckets: dict[int, dict[str, dict[str, Plain]]] = {}
     for change in changes:
         if change.kind not in copied:
             copied.add(change.kind)
             objects[change.kind] = dict(objects[change.kind])
-        number = bucket_of(change.kind, change.name)
-        if number not in buckets:
-            buckets[number] = read_part(document.parts[number])
-        _change_bucket(buckets[number], change)
+        index = part_index(change.kind, change.name)
+        if index not in buckets:
+            buckets[index] = read_part(document.parts[index])
+        _change_bucket(buckets[index], change)
         _change_objects(objects[change.kind], change)
     parts = list(document.parts)
-    for number, bucket in buckets.items():
-        parts[number] = make_part(bucket)
-    return _assemble(objects, tuple(parts))
+    for index, bucket in buckets.items():
+        parts[index] = make_part(bucket)
+    return _document_of(objects, tuple(parts))
 
 
 def build(document: Document, version: int) -> ConfigSet:
-    """Return the set that daemons decide by. The document must have been checked."""
+    """Return the set that daemons apply; the document must have been checked."""
     keys = document.keys_by_name.values()
     return ConfigSet(
         version=version,
@@ -133,7 +133,7 @@
 
 
 def to_json(document: Document) -> dict[str, Any]:
-    """Return the document as JSON has it, in the order of the kinds, names sorted."""
+    """Return the JSON form of the document: kinds in order, names sorted."""
     result: dict[str, Any] = {"format": DOCUMENT_FORMAT}
     for kind in Kind:
         by_name = document.objects(kind)
@@ -142,12 +142,12 @@
 
 
 def canonical_bytes(document: Document) -> bytes:
-    """Return the whole document in its canonical form."""
+    """Return the complete document as canonical JSON."""
     return to_text(to_json(document)).encode()
 
 
-def dict_of(document: Document, kind: Kind) -> dict[str, Any]:
-    """Return the collection of one kind itself: copy it before changing it."""
+def objects_dict(document: Document, kind: Kind) -> dict[str, Any]:
+    """Return the shared dict of one kind; copy it before a modification."""
     objects = document.objects(kind)
     return objects if isinstance(objects, dict) else dict(objects)
 
@@ -167,7 +167,7 @@
         by_name[change.name] = change.item
 
 
-def _assemble(objects: ObjectsByKind, parts: tuple[Part, ...]) -> Document:
+def _document_of(objects: ObjectsByKind, parts: tuple[Part, ...]) -> Document:
     return Document(
         workspaces_by_name=objects[Kind.WORKSPACES],
         keys_by_name=objects[Kind.KEYS],
@@ -180,5 +180,5 @@
     )
 
 
-EMPTY: Document = make_document({kind: {} for kind in Kind})
-"""The set before the first publish."""
+EMPTY_DOCUMENT: Document = make_document({kind: {} for kind in Kind})
+"""The empty set, which precedes the first published version."""
--- a/damaskbay/config/exceptions.py
+++ b/damaskbay/config/exceptions.py
@@ -1,4 +1,4 @@
-"""Failures of the configuration layer, as sentinel values."""
+"""Failures of the configuration layer; they are returned, not raised."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,11 +7,11 @@
 @dataclass(frozen=True, slots=True)
 class Problem:
     """
-    One fault of a set.
+    One problem of a set.
 
-    `object_kind` and `name` are empty where the fault is of the whole document,
-    `field` where it is of the whole object. `what` says what is wrong, `mend` how
-    to put it right.
+    `object_kind` and `name` are empty if the problem concerns the complete
+    document, `field` if it concerns a complete object. `what` describes the
+    problem, `mend` the remedy.
     """
 
     object_kind: str
@@ -21,9 +21,11 @@
     mend: str
 
     def __str__(self) -> str:
-        place = "/".join(part for part in (self.object_kind, self.name) if part)
-        at = f"{place or 'document'}{f' {self.field}' if self.field else ''}"
-        return f"{at}: {self.what}. {self.mend}"
+        object_path = "/".join(part for part in (self.object_kind, self.name) if part)
+        location = (
+            f"{object_path or 'document'}{f' {self.field}' if self.field else ''}"
+        )
+        return f"{location}: {self.what}. {self.mend}"
 
 
 Problems = tuple[Problem, ...]
@@ -33,7 +35,7 @@
     """Why a delta was not applied."""
 
     OTHER_BASE = "other_base"
-    """It was made for another set than the one at hand."""
+    """The delta was made for a set other than the local one."""
 
     INVALID = "invalid"
     DIGEST_MISMATCH = "digest_mismatch"
@@ -41,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeltaFailure:
-    """A delta that was not applied; the set at hand is unchanged."""
+    """A delta that was not applied; the local set is unchanged."""
 
     problem: DeltaProblem
     detail: str = ""
@@ -61,9 +63,9 @@
 @dataclass(frozen=True, slots=True)
 class LoadFailure:
     """
-    A head or a set that could not be read; there is never half a set.
+    A head or set that could not be read; partial sets are never returned.
 
-    `revision` is the platform's of a record that is damaged, else 0.
+    `revision` is the platform's revision of a damaged record, else 0.
     """
 
     problem: LoadProblem
@@ -83,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishFailure:
-    """Nothing was published; what stood in force still does."""
+    """Nothing was published; the active version is unchanged."""
 
     problem: PublishProblem
     detail: str = ""
@@ -93,10 +95,10 @@
 @dataclass(frozen=True, slots=True)
 class PublishUnknown:
     """
-    The answer was lost and could not be read back in time.
+    The platform's reply was lost and the outcome could not be read in time.
 
-    The set may be published or not. Publishing again with the same publish id
-    settles it and never publishes twice.
+    The set may or may not be published. Publishing again with the same publish id
+    finds out and never publishes twice.
     """
 
     publish_id: str
--- a/damaskbay/config/head.py
+++ b/damaskbay/config/head.py
@@ -1,4 +1,4 @@
-"""The record that names the set in force."""
+"""The record of the active version, and its stored form."""
 
 from typing import Annotated
 
@@ -12,7 +12,7 @@
 
 
 class ChangeModel(BaseModel):
-    """One object of a delta."""
+    """The stored form of one object change."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -22,7 +22,7 @@
 
 
 class DeltaModel(BaseModel):
-    """A delta from the version before."""
+    """The stored form of a delta from the previous version."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -31,7 +31,7 @@
     changes: tuple[ChangeModel, ...]
 
     def to_delta(self) -> Delta:
-        """Return the data class."""
+        """Return the delta as a data class."""
         changes = (ObjectChange(**change.model_dump()) for change in self.changes)
         return Delta(self.base_digest, self.digest, tuple(changes))
 
@@ -41,8 +41,8 @@
     One accepted version.
 
     `published_at` is in seconds since 1970. `packs` are the digests of the
-    values that hold the set: one for a small set, else one for each part.
-    `delta` leads here from the version before where it is small.
+    stored values of the set: one for a small set, else one for each part.
+    `delta` holds the changes from the previous version if they are small.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -57,19 +57,19 @@
     delta: DeltaModel | None = None
 
     def to_bytes(self) -> bytes:
-        """Return the record as it is stored."""
+        """Return the stored form of the record (JSON)."""
         return self.model_dump_json().encode()
 
 
 def read_record(entry: Entry) -> HeadRecord | LoadFailure:
-    """Return the record that an entry holds, or why it holds none."""
+    """Return the record of an entry, or a failure if the entry is damaged."""
     try:
         record = HeadRecord.model_validate_json(entry.value)
     except ValidationError as error:
-        detail = f"{error.error_count()} faults"
+        detail = f"{error.error_count()} validation errors"
         return _damaged(entry, detail)
     if len(record.packs) not in {1, PART_COUNT}:
-        detail = f"names {len(record.packs)} values"
+        detail = f"refers to {len(record.packs)} values"
         return _damaged(entry, detail)
     return record
 
@@ -80,11 +80,11 @@
 
 
 def history_key(version: int) -> str:
-    """Return the key of a version's record; keys sort by version."""
+    """Return the storage key of a version's record; keys sort by version."""
     return f"{HISTORY_PREFIX}{version:012d}"
 
 
-def to_model(delta: Delta) -> DeltaModel:
+def delta_to_model(delta: Delta) -> DeltaModel:
     """Return the stored form of a delta."""
     changes = tuple(
         ChangeModel(kind=item.kind, name=item.name, body=item.body)
--- a/damaskbay/config/housekeeping.py
+++ b/damaskbay/config/housekeeping.py
@@ -1,4 +1,4 @@
-"""Values and history around one publication, and the removal of old ones."""
+"""Storage of the values and history of a publication; removal of old ones."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -23,13 +23,13 @@
     PlatformProblem,
 )
 
-_Call = Callable[[float], Entry | Conflict | PlatformFailure]
-_Retry = Callable[[_Call, float], Entry | Conflict | PlatformFailure]
+_Write = Callable[[float], Entry | Conflict | PlatformFailure]
+_Retry = Callable[[_Write, float], Entry | Conflict | PlatformFailure]
 
 
 @dataclass(frozen=True, slots=True)
-class _Stale:
-    """An entry that may go, at the revision seen before the head was swapped."""
+class _StaleEntry:
+    """An obsolete entry with its revision before the swap of the head."""
 
     key: str
     revision: int
@@ -37,32 +37,33 @@
 
 class Housekeeping:
     """
-    Writes what a new head needs and removes what no kept version needs.
-
-    Safe among racing publishers: what may go is looked up before the swap of the
-    head and removed only after it succeeded, at the revision seen before. A
-    publisher who needs such a value again writes it again first, which changes
-    its revision; had it done so before the swap, its own swap fails. What a
-    publication that lost or broke off left behind is told by its pending record.
+    Writes the values that a new head needs and removes those no version needs.
+
+    Racing publishers are safe: obsolete entries are looked up before the swap of
+    the head and deleted only after the swap succeeded, at the revision seen
+    before it. A publisher that needs such a value again first rewrites it, which
+    changes its revision, so the delete fails. If it rewrote the value before this
+    swap of the head, its own swap fails. The pending record of a publication that
+    lost the race or was aborted lists the values that it wrote.
     """
 
     def __init__(self, platform: Platform, retry: _Retry, deadline: float) -> None:
         self._platform = platform
         self._retry = retry
         self._deadline = deadline
-        self._stale: list[_Stale] = []
+        self._stale: list[_StaleEntry] = []
 
-    def prepare(
+    def write_values(
         self, document: Document, record: HeadRecord, head: Head | None
     ) -> PublishFailure | None:
-        """Store the values of the new set and the record of the one before."""
+        """Write the values of the new set and the history record of the old version."""
         pending = _pending_key(record)
         result = self._write(pending, record.to_bytes(), 0)
         if isinstance(result, PlatformFailure):
-            return _failure(result)
-        standing = set() if head is None else set(head.record.packs)
+            return _publish_failure(result)
+        stored = set() if head is None else set(head.record.packs)
         for pack in {pack.digest: pack for pack in make_packs(document)}.values():
-            if pack.digest not in standing:
+            if pack.digest not in stored:
                 failure = self._write_pack(pack)
                 if failure is not None:
                     return failure
@@ -71,12 +72,12 @@
                 history_key(head.record.version), head.record.to_bytes(), 0
             )
             if isinstance(result, PlatformFailure):
-                return _failure(result)
-        self._stale = self._find_stale(record)
+                return _publish_failure(result)
+        self._stale = self._find_stale_entries(record)
         return None
 
-    def clean_up(self) -> None:
-        """Remove what no kept version needs; what fails is left for the next time."""
+    def remove_stale(self) -> None:
+        """Delete obsolete entries; after a failure the next publication continues."""
         for item in self._stale:
             result = self._platform.delete(
                 item.key, expected_revision=item.revision, timeout_s=CALL_TIMEOUT_S
@@ -85,7 +86,7 @@
                 return
 
     def _write_pack(self, pack: Pack) -> PublishFailure | None:
-        """Write a value, again where it stands, so that nobody removes it now."""
+        """Write a value, even if it exists: the new revision prevents its removal."""
         key = f"{PARTS_PREFIX}{pack.digest}"
         revision = 0
         while True:
@@ -93,7 +94,7 @@
             if isinstance(result, Entry):
                 return None
             if isinstance(result, PlatformFailure):
-                return _failure(result)
+                return _publish_failure(result)
             revision = 0 if result.current is None else result.current.revision
 
     def _write(
@@ -106,8 +107,8 @@
             self._deadline,
         )
 
-    def _find_stale(self, record: HeadRecord) -> list[_Stale]:
-        """Return what only versions beyond the kept history and losers need."""
+    def _find_stale_entries(self, record: HeadRecord) -> list[_StaleEntry]:
+        """Return entries used only by expired versions and by failed publications."""
         history = self._platform.list(HISTORY_PREFIX, timeout_s=CALL_TIMEOUT_S)
         pending = self._platform.list(PENDING_PREFIX, timeout_s=CALL_TIMEOUT_S)
         if isinstance(history, PlatformFailure) or isinstance(pending, PlatformFailure):
@@ -124,17 +125,17 @@
             if in_history and old.version >= oldest_kept:
                 needed.update(old.packs)
             else:
-                stale.append(_Stale(entry.key, entry.revision))
+                stale.append(_StaleEntry(entry.key, entry.revision))
                 unneeded.update(old.packs)
         return [*self._stale_packs(unneeded - needed), *stale]
 
-    def _stale_packs(self, digests: set[str]) -> list[_Stale]:
+    def _stale_packs(self, digests: set[str]) -> list[_StaleEntry]:
         found = []
         for digest in sorted(digests):
             key = f"{PARTS_PREFIX}{digest}"
             entry = self._platform.get(key, timeout_s=CALL_TIMEOUT_S)
             if isinstance(entry, Entry):
-                found.append(_Stale(key, entry.revision))
+                found.append(_StaleEntry(key, entry.revision))
         return found
 
 
@@ -142,7 +143,7 @@
     return f"{PENDING_PREFIX}{record.publish_id}"
 
 
-def _failure(failure: PlatformFailure) -> PublishFailure:
+def _publish_failure(failure: PlatformFailure) -> PublishFailure:
     if failure.problem is PlatformProblem.VALUE_TOO_LARGE:
         return PublishFailure(PublishProblem.TOO_LARGE, failure.detail)
     return PublishFailure(PublishProblem.UNAVAILABLE, failure.detail)
--- a/damaskbay/config/matching.py
+++ b/damaskbay/config/matching.py
@@ -1,4 +1,4 @@
-"""From host, method and path to a route, by reads of dictionaries."""
+"""Route lookup by host, method and path, with dictionary reads only."""
 
 from collections import defaultdict
 from collections.abc import Iterator
@@ -21,10 +21,11 @@
     """
     Finds the route of a request.
 
-    An exact host goes before "*", then the longest path prefix (by whole
-    segments) whose methods fit. A path that a backend server could take for
-    another one (dot segments, empty segments, an encoded slash) has no route,
-    so that nobody gets past a keyed route by way of an open one.
+    An exact host takes precedence over "*"; then the longest path prefix (in
+    complete segments) that allows the method matches. A path that a backend
+    server could resolve to another path (dot segments, empty segments, an encoded
+    slash) has no route, so a caller cannot bypass a keyed route through an open
+    one.
     """
 
     def __init__(self, config: ConfigSet) -> None:
@@ -33,21 +34,21 @@
         for route in config.routes_by_name.values():
             by_host[route.host].append(route)
         self._tables_by_host = {
-            host: _table(routes) for host, routes in by_host.items()
+            host: _host_table(routes) for host, routes in by_host.items()
         }
 
     def refreshed(self, config: ConfigSet) -> "RouteTable":
-        """Return a table for this set: the same one where no route changed."""
+        """Return a table for a set; it is this table if no route changed."""
         if config.routes_by_name is self._routes_by_name:
             return self
         return RouteTable(config)
 
     def match(self, host: str, method: str, path: str) -> Route | None:
-        """Return the route; `path` is as sent and may still hold a query."""
-        segments = safe_path(path)
+        """Return the route, or None; `path` is as received and may include a query."""
+        segments = split_path(path)
         if segments is None:
             return None
-        for name in (plain_host(host), ANY_HOST):
+        for name in (normalize_host(host), ANY_HOST):
             table = self._tables_by_host.get(name)
             if table is None:
                 continue
@@ -64,11 +65,11 @@
     def __init__(self, config: ConfigSet) -> None:
         self._by_host: dict[str, dict[str, Route]] = defaultdict(dict)
         for route in config.routes_by_name.values():
-            self._by_host[plain_host(route.host)][route.path_prefix] = route
+            self._by_host[normalize_host(route.host)][route.path_prefix] = route
 
     def match(self, host: str, target: str) -> Route | None:
-        """Return the route, or None; prefixes begin and end with a slash."""
-        by_prefix = self._by_host.get(plain_host(host))
+        """Return the route, or None; path prefixes begin and end with a slash."""
+        by_prefix = self._by_host.get(normalize_host(host))
         if by_prefix is None:
             return None
         path = target.partition("?")[0]
@@ -81,34 +82,34 @@
         return None
 
 
-def normal_prefix(path_prefix: str) -> str:
-    """Return the prefix without a closing slash; "" matches every path."""
+def normalize_prefix(path_prefix: str) -> str:
+    """Return the prefix without trailing slashes; "" matches every path."""
     return path_prefix.rstrip("/")
 
 
-def _table(routes: list[Route]) -> _HostTable:
+def _host_table(routes: list[Route]) -> _HostTable:
     by_prefix: dict[str, tuple[Route, ...]] = {}
     for route in routes:
-        prefix = normal_prefix(route.path_prefix)
+        prefix = normalize_prefix(route.path_prefix)
         by_prefix[prefix] = (*by_prefix.get(prefix, ()), route)
     return _HostTable(by_prefix, max(prefix.count("/") for prefix in by_prefix))
 
 
-def plain_host(host: str) -> str:
-    """Return a request's host in lower case, without its port and closing dot."""
+def normalize_host(host: str) -> str:
+    """Return a request's host in lower case, without port and trailing dot."""
     name = host.lower()
     if name.startswith("["):
         return name[: name.find("]") + 1]
     return name.partition(":")[0].rstrip(".")
 
 
-def safe_path(path: str) -> list[str] | None:
-    """Return the decoded segments, or None where the path is ambiguous."""
-    plain = path.partition("?")[0].partition("#")[0]
-    if not plain.startswith("/"):
+def split_path(path: str) -> list[str] | None:
+    """Return the decoded segments of a path, or None if it is ambiguous."""
+    raw = path.partition("?")[0].partition("#")[0]
+    if not raw.startswith("/"):
         return None
-    segments = plain[1:].split("/")
-    if "%" in plain:
+    segments = raw[1:].split("/")
+    if "%" in raw:
         segments = [unquote(segment) for segment in segments]
     if segments[-1] == "":
         segments.pop()
@@ -120,10 +121,10 @@
 
 
 def _prefixes(segments: list[str], max_depth: int) -> Iterator[str]:
-    """Yield the prefixes of a path, longest first, down to the empty one."""
-    count = min(len(segments), max_depth)
-    prefix = "".join(f"/{segment[:MAX_PATH_LENGTH]}" for segment in segments[:count])
-    for number in range(count, -1, -1):
+    """Yield the prefixes of a path, from the longest to the empty one."""
+    depth = min(len(segments), max_depth)
+    prefix = "".join(f"/{segment[:MAX_PATH_LENGTH]}" for segment in segments[:depth])
+    for remaining in range(depth, -1, -1):
         yield prefix
-        if number:
+        if remaining:
             prefix = prefix[: prefix.rfind("/")]
--- a/damaskbay/config/models.py
+++ b/damaskbay/config/models.py
@@ -115,12 +115,14 @@
     @classmethod
     def _no_dot_segments(cls, value: str) -> str:
         if any(segment in {".", ".."} for segment in value.split("/")):
-            raise ValueError("has a segment '.' or '..', which no request path has")
+            raise ValueError(
+                "has a segment '.' or '..', which request paths never contain"
+            )
         return value
 
     @field_validator("limits", "calls")
     @classmethod
-    def _named_once(cls, value: tuple[str, ...]) -> tuple[str, ...]:
+    def _no_duplicates(cls, value: tuple[str, ...]) -> tuple[str, ...]:
         if len(set(value)) != len(value):
             raise ValueError("names an object twice")
         return value
--- a/damaskbay/config/objects.py
+++ b/damaskbay/config/objects.py
@@ -1,4 +1,4 @@
-"""Frozen data classes of one accepted configuration set."""
+"""Frozen data classes of a configuration set."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 
 
 class Kind(Enum):
-    """The kinds of objects, named as in the document."""
+    """The kinds of objects; the values are their names in the document."""
 
     WORKSPACES = "workspaces"
     KEYS = "keys"
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RankedWorkspace(Workspace):
-    """A workspace whose own priority goes before that of the route."""
+    """A workspace whose own priority takes precedence over the route's."""
 
     priority: str | None = None
 
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Priority:
-    """A class of importance. Rank 0 is shed last."""
+    """A priority class. Calls of rank 0 are shed last."""
 
     name: str
     rank: int
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """A further rate (requests/s) and burst (requests) that routes refer to."""
+    """An additional rate (requests/s) and burst (requests) that routes refer to."""
 
     name: str
     rate_per_s: float
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """The backend servers that answer to one name."""
+    """The backend servers that share one name."""
 
     name: str
     slots_per_server: int
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedPool:
-    """A pool that gets a part of a route's calls, in proportion to the weight."""
+    """A pool that receives a route's calls in proportion to its weight."""
 
     pool: str
     weight: float
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send, in bytes, and how long they may take, in seconds."""
+    """Limits on the size (bytes) and duration (seconds) of callers' requests."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 8 * 1024 * 1024
@@ -113,11 +113,11 @@
 @dataclass(frozen=True, slots=True)
 class Route:
     """
-    What is called, where it goes and on which terms.
+    Which requests match, the pool that serves them, and their deadline and limits.
 
     `host` "*" matches every host; empty `methods` match every method. `calls`
-    names the routes that this route's backend servers may call. Times in
-    seconds. `retries` is the allowance of the whole call tree.
+    names the routes that this route's backend servers may call. Times are in
+    seconds. `retries` is the retry budget of the complete call tree.
     """
 
     name: str
@@ -139,9 +139,9 @@
 @dataclass(frozen=True, slots=True)
 class WeightedRoute(Route):
     """
-    A route that may spread its calls, and has a latency objective in seconds.
+    A route with weighted pools and a latency objective in seconds.
 
-    With `weighted_pools` calls go to these by weight; `pool` is the first of them.
+    With `weighted_pools`, calls go to these by weight; `pool` is the first of them.
     """
 
     weighted_pools: tuple[WeightedPool, ...] = ()
@@ -154,7 +154,7 @@
 @dataclass(frozen=True, slots=True)
 class ConfigSet:
     """
-    One whole set, checked. Collections are named by their key.
+    A complete, checked set.
 
     `version` is that of the platform's head record, `digest` that of the document
     (see config.document) in hex.
--- a/damaskbay/config/override.py
+++ b/damaskbay/config/override.py
@@ -1,4 +1,4 @@
-"""Changes of single objects, named as operators name them."""
+"""Changes of single objects, given by operators as KIND/NAME and FIELD=VALUE."""
 
 import json
 from collections.abc import Sequence
@@ -7,7 +7,7 @@
 
 from damaskbay.config.canonical import to_plain
 from damaskbay.config.check_changed import check_changed
-from damaskbay.config.document import Change, Document, change_document
+from damaskbay.config.document import Change, Document, apply_changes
 from damaskbay.config.exceptions import Problem, Problems
 from damaskbay.config.objects import Kind
 from damaskbay.config.parsing import read_object
@@ -16,11 +16,11 @@
 @dataclass(frozen=True, slots=True)
 class Override:
     """
-    Fields to set on one object, each as FIELD=VALUE; without any it is removed.
+    Fields to set on one object, each as FIELD=VALUE; without fields it is removed.
 
-    `place` is KIND/NAME. A value is JSON where it reads as JSON, else text;
-    an empty value takes the field away, so that its default holds. An object
-    that does not exist yet is made.
+    `place` is KIND/NAME. A value is parsed as JSON if possible, else taken as
+    text; an empty value resets the field to its default. A missing object is
+    created.
     """
 
     place: str
@@ -30,15 +30,15 @@
 def apply_overrides(
     document: Document, overrides: Sequence[Override]
 ) -> Document | Problems:
-    """Return the whole checked set after the overrides, or every fault of it."""
+    """Return the complete checked set after the overrides, or its problems."""
     changes: list[Change] = []
     problems: list[Problem] = []
     changed = document
     for override in overrides:
-        change = _change(changed, override)
+        change = _to_change(changed, override)
         if isinstance(change, Change):
             changes.append(change)
-            changed = change_document(changed, [change])
+            changed = apply_changes(changed, [change])
         else:
             problems.extend(change)
     if problems:
@@ -46,14 +46,14 @@
     return check_changed(document, changed, changes) or changed
 
 
-def _change(document: Document, override: Override) -> Change | Problems:
+def _to_change(document: Document, override: Override) -> Change | Problems:
     kind_name, _, name = override.place.partition("/")
     try:
         kind = Kind(kind_name)
     except ValueError:
-        known = ", ".join(kind.value for kind in Kind)
-        what = f"{kind_name!r} is no kind of object"
-        return (Problem("", override.place, "", what, f"Use one of {known}."),)
+        known_kinds = ", ".join(kind.value for kind in Kind)
+        what = f"{kind_name!r} is not a kind of object"
+        return (Problem("", override.place, "", what, f"Use one of {known_kinds}."),)
     existing = document.objects(kind).get(name)
     if not override.settings:
         if existing is None:
@@ -68,12 +68,12 @@
             return (Problem(kind_name, name, "", what, "Write FIELD=VALUE."),)
         plain.pop(field, None)
         if text:
-            plain[field] = _value(text)
+            plain[field] = _parse_value(text)
     item = read_object(kind, name, plain)
     return item if isinstance(item, tuple) else Change(kind, name, item)
 
 
-def _value(text: str) -> Any:
+def _parse_value(text: str) -> Any:
     try:
         return json.loads(text)
     except (ValueError, RecursionError):
--- a/damaskbay/config/parsing.py
+++ b/damaskbay/config/parsing.py
@@ -1,4 +1,4 @@
-"""From JSON to valid single objects; every fault of shape at once."""
+"""Parsing of JSON into valid single objects; all problems are reported at once."""
 
 import json
 from collections.abc import Iterator
@@ -13,160 +13,174 @@
 from damaskbay.config.objects import ConfigObject, Kind
 
 ObjectsByKind = dict[Kind, dict[str, Any]]
-"""Frozen objects by kind and name."""
+"""Data class objects by kind and name."""
 
 _NAME = TypeAdapter(Name)
 _FORMAT_FIELD = "format"
 _BASE_FIELD = "based_on_version"
-_MENDS_BY_ERROR = {
+_REMEDIES_BY_ERROR = {
     "missing": "Add the field.",
     "extra_forbidden": "Remove the field or correct its name.",
 }
 
 
 @dataclass(slots=True)
-class Shape:
+class ParsedObjects:
     """
-    What could be read, with its problems. Broken objects are only named.
+    Valid objects of a document, its problems and the names of invalid objects.
 
-    `based_on_version` is what the document says that it was made from.
+    `based_on_version` is the version that the document states as its base.
     """
 
     objects: ObjectsByKind = field(default_factory=lambda: {kind: {} for kind in Kind})
-    broken: dict[Kind, set[str]] = field(
+    invalid_names: dict[Kind, set[str]] = field(
         default_factory=lambda: {kind: set() for kind in Kind}
     )
     problems: list[Problem] = field(default_factory=list)
     based_on_version: int | None = None
 
 
-def read_shape(data: bytes | dict[str, Any]) -> Shape:
-    """Read a document from JSON bytes or from what JSON decodes to."""
-    shape = Shape()
-    document = _decode(data, shape) if isinstance(data, bytes) else data
+def parse_objects(data: bytes | dict[str, Any]) -> ParsedObjects:
+    """Parse a document from JSON bytes or from decoded JSON."""
+    parsed = ParsedObjects()
+    document = _decode(data, parsed) if isinstance(data, bytes) else data
     if document is None:
-        return shape
+        return parsed
     if not isinstance(document, dict):
-        shape.problems.append(_whole("is not a JSON object", "Write {...}."))
-        return shape
+        parsed.problems.append(
+            _document_problem("is not a JSON object", "Write {...}.")
+        )
+        return parsed
     for name, section in document.items():
-        _read_member(str(name), section, shape)
-    count = sum(len(objects) for objects in shape.objects.values())
+        _parse_member(str(name), section, parsed)
+    count = sum(len(objects) for objects in parsed.objects.values())
     if count > MAX_OBJECTS:
         what = f"holds {count} objects, the limit is {MAX_OBJECTS}"
-        shape.problems.append(_whole(what, "Remove objects."))
-    return shape
+        parsed.problems.append(_document_problem(what, "Remove objects."))
+    return parsed
 
 
 def read_object(
     kind: Kind, name: str, plain: Any
 ) -> ConfigObject | tuple[Problem, ...]:
-    """Read one object from its JSON form."""
-    shape = Shape()
-    _read_section(kind, {name: plain}, shape)
-    if shape.problems:
-        return tuple(shape.problems)
-    result: ConfigObject = shape.objects[kind][name]
+    """Return an object parsed from its JSON form, or its problems."""
+    parsed = ParsedObjects()
+    _parse_section(kind, {name: plain}, parsed)
+    if parsed.problems:
+        return tuple(parsed.problems)
+    result: ConfigObject = parsed.objects[kind][name]
     return result
 
 
-def _decode(data: bytes, shape: Shape) -> Any:
+def _decode(data: bytes, parsed: ParsedObjects) -> Any:
     if len(data) > MAX_DOCUMENT_BYTES:
         what = f"has {len(data)} bytes, the limit is {MAX_DOCUMENT_BYTES}"
-        shape.problems.append(_whole(what, "Remove objects."))
+        parsed.problems.append(_document_problem(what, "Remove objects."))
         return None
 
     def collect(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
         result = dict(pairs)
         if len(result) != len(pairs):
-            shape.problems.extend(_duplicates(pairs))
+            parsed.problems.extend(_duplicate_problems(pairs))
         return result
 
     try:
-        return json.loads(data, object_pairs_hook=collect, parse_constant=_refuse)
+        return json.loads(
+            data, object_pairs_hook=collect, parse_constant=_reject_constant
+        )
     except (ValueError, RecursionError) as error:
         what = f"is not JSON: {error}"
-        shape.problems.append(_whole(what, "Correct the JSON at that place."))
+        parsed.problems.append(
+            _document_problem(what, "Correct the JSON at that place.")
+        )
         return None
 
 
-def _refuse(constant: str) -> Any:
-    raise ValueError(f"{constant} is no JSON number")
+def _reject_constant(constant: str) -> Any:
+    raise ValueError(f"{constant} is not a JSON number")
 
 
-def _duplicates(pairs: list[tuple[str, Any]]) -> Iterator[Problem]:
+def _duplicate_problems(pairs: list[tuple[str, Any]]) -> Iterator[Problem]:
     seen: set[str] = set()
     for name, _ in pairs:
         if name in seen:
-            what = f"the name {_short(name)} stands twice in one JSON object"
-            yield _whole(what, "Remove or rename one of them.")
+            what = f"the name {_abbreviate(name)} stands twice in one JSON object"
+            yield _document_problem(what, "Remove or rename one of them.")
         seen.add(name)
 
 
-def _read_member(name: str, section: Any, shape: Shape) -> None:
+def _parse_member(name: str, section: Any, parsed: ParsedObjects) -> None:
     if name == _FORMAT_FIELD:
         if type(section) is not int or section != DOCUMENT_FORMAT:
-            what = f"the format {_short(section)} is not known"
-            shape.problems.append(_whole(what, f"Write {DOCUMENT_FORMAT}."))
+            what = f"the format {_abbreviate(section)} is not known"
+            parsed.problems.append(_document_problem(what, f"Write {DOCUMENT_FORMAT}."))
         return
     if name == _BASE_FIELD:
         if type(section) is not int or section < 0:
-            what = f"{_BASE_FIELD} is {_short(section)}, not a version"
-            shape.problems.append(_whole(what, "Write a number, or remove it."))
+            what = f"{_BASE_FIELD} is {_abbreviate(section)}, not a version"
+            parsed.problems.append(
+                _document_problem(what, "Write a number, or remove it.")
+            )
         else:
-            shape.based_on_version = section
+            parsed.based_on_version = section
         return
     try:
         kind = Kind(name)
     except ValueError:
-        known = ", ".join(item.value for item in Kind)
-        problem = _whole(f"{_short(name)} is no kind of object", f"Use {known}.")
-        shape.problems.append(problem)
+        known_kinds = ", ".join(item.value for item in Kind)
+        problem = _document_problem(
+            f"{_abbreviate(name)} is not a kind of object", f"Use {known_kinds}."
+        )
+        parsed.problems.append(problem)
         return
     if not isinstance(section, dict):
         what = "is not a JSON object of objects by name"
-        shape.problems.append(Problem(name, "", "", what, "Write {name: {...}}."))
+        parsed.problems.append(Problem(name, "", "", what, "Write {name: {...}}."))
         return
-    _read_section(kind, section, shape)
+    _parse_section(kind, section, parsed)
 
 
-def _read_section(kind: Kind, section: dict[str, Any], shape: Shape) -> None:
+def _parse_section(kind: Kind, section: dict[str, Any], parsed: ParsedObjects) -> None:
     model, cls = MODELS_BY_KIND[kind], CLASSES_BY_KIND[kind]
     for name, plain in section.items():
         try:
             _NAME.validate_python(name)
             item = model.model_validate(plain)
         except ValidationError as error:
-            shape.broken[kind].add(name)
-            shape.problems.extend(_problems_of(kind, name, error))
+            parsed.invalid_names[kind].add(name)
+            parsed.problems.extend(_problems_of_error(kind, name, error))
             continue
-        shape.objects[kind][name] = _build(cls, name, item)
+        parsed.objects[kind][name] = _build(cls, name, item)
 
 
 def _build(cls: type[Any], name: str, item: BaseModel) -> Any:
     return cls(name=name, **item.__dict__)
 
 
-def _problems_of(kind: Kind, name: str, error: ValidationError) -> Iterator[Problem]:
-    is_name = error.title != MODELS_BY_KIND[kind].__name__
+def _problems_of_error(
+    kind: Kind, name: str, error: ValidationError
+) -> Iterator[Problem]:
+    name_is_invalid = error.title != MODELS_BY_KIND[kind].__name__
     for detail in error.errors(include_url=False, include_context=False):
         place = ".".join(str(part) for part in detail["loc"])
         message = detail["msg"][:1].lower() + detail["msg"][1:]
-        given = "" if detail["type"] == "missing" else f" ({_short(detail['input'])})"
-        mend = _MENDS_BY_ERROR.get(detail["type"], "Correct the value.")
+        input_text = (
+            "" if detail["type"] == "missing" else f" ({_abbreviate(detail['input'])})"
+        )
+        mend = _REMEDIES_BY_ERROR.get(detail["type"], "Correct the value.")
         yield Problem(
             kind.value,
-            _short(name) if is_name else name,
-            "name" if is_name else place,
-            message + given,
+            _abbreviate(name) if name_is_invalid else name,
+            "name" if name_is_invalid else place,
+            message + input_text,
             mend,
         )
 
 
-def _whole(what: str, mend: str) -> Problem:
+def _document_problem(what: str, mend: str) -> Problem:
     return Problem("", "", "", what, mend)
 
 
-def _short(value: Any) -> str:
+def _abbreviate(value: Any) -> str:
     text = repr(value)
     return text if len(text) <= 60 else f"{text[:57]}..."
--- a/damaskbay/config/publishing.py
+++ b/damaskbay/config/publishing.py
@@ -1,4 +1,4 @@
-"""Publishing: values first, then one compare-and-swap of the head."""
+"""Publishing of sets: writes the values, then swaps the head atomically."""
 
 import time
 import uuid
@@ -14,7 +14,7 @@
     RETRY_PAUSE_S,
 )
 from damaskbay.config.delta import ObjectChange, make_delta
-from damaskbay.config.document import EMPTY, Document
+from damaskbay.config.document import EMPTY_DOCUMENT, Document
 from damaskbay.config.exceptions import (
     LoadFailure,
     LoadProblem,
@@ -22,7 +22,7 @@
     PublishProblem,
     PublishUnknown,
 )
-from damaskbay.config.head import HeadRecord, read_record, to_model
+from damaskbay.config.head import HeadRecord, delta_to_model, read_record
 from damaskbay.config.housekeeping import Housekeeping
 from damaskbay.config.packs import make_packs
 from damaskbay.config.store import ConfigStore, Head
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """The set is the accepted version; `newest` is False where a newer one is."""
+    """The set was published; `newest` is False if a newer version followed it."""
 
     record: HeadRecord
     newest: bool = True
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unchanged:
-    """The set at hand is the one in force; no version was made."""
+    """The set equals the active one; no version was created."""
 
     record: HeadRecord
 
@@ -54,10 +54,10 @@
 @dataclass(frozen=True, slots=True)
 class PublishConflict:
     """
-    Another version stands where the expected one was; nothing was published.
+    The current version is not the expected one; nothing was published.
 
-    `changes` tells, object by object, what leads from the expected version to
-    the current one; None where the expected version is no longer kept.
+    `changes` are the object changes from the expected version to the current one;
+    None if the expected version is no longer kept.
     """
 
     expected_version: int
@@ -73,12 +73,12 @@
 @dataclass(frozen=True, slots=True)
 class Publication:
     """
-    What one operator publishes, on top of which version (0: on nothing).
+    A set to publish as the successor of the expected version (0: none).
 
-    `again` tells that this publish id may have been sent before. `base` is the
-    set of the expected version where it is at hand, which spares reading it.
-    `onto_empty` tells that the platform has lost its data: where no head stands,
-    the expected version is that which the daemons still hold.
+    `again` means that this publish id may have been sent before. `base` is the
+    set of the expected version if the caller has it, which saves reading it.
+    `onto_empty` means that the platform has lost its data: if there is no head,
+    the expected version is the one that the daemons still hold.
     """
 
     document: Document
@@ -91,19 +91,20 @@
 
 
 def new_publish_id() -> str:
-    """Return an id that no other publication has."""
+    """Return a unique id for a publication."""
     return uuid.uuid4().hex
 
 
 class Publisher:
     """
-    Publishes sets. Blocks up to `timeout_s` for each publication.
+    Publishes sets; each publication blocks for up to `timeout_s`.
 
     One of several racing publishers wins each version; the others get a
-    PublishConflict. A lost answer is settled by the publish id: the same
-    compare-and-swap is sent again, so that a late first copy cannot win as well.
+    PublishConflict. After a lost reply the same compare-and-swap is sent again,
+    so a delayed first copy cannot win as well, and the publish id shows whether
+    the write took effect.
 
-    `progress` is told after each storing call how many there were so far.
+    `progress` is called after each write request with the number of them so far.
     """
 
     def __init__(
@@ -123,10 +124,10 @@
         self._wall_clock = wall_clock
         self._sleep = sleep
         self._progress = progress
-        self._calls = 0
+        self._write_count = 0
 
     def publish(self, publication: Publication) -> PublishResult:
-        """Check, store and put in force; see the result's types."""
+        """Check and store a set and make it the active version."""
         problems = check(publication.document)
         if problems:
             return PublishFailure(PublishProblem.INVALID, str(problems[0]), problems)
@@ -134,91 +135,91 @@
         head = self._read_head(deadline)
         if isinstance(head, PublishFailure):
             return head
-        settled = self._settled(publication, head)
-        if settled is not None:
-            return settled
+        known_result = self._result_without_write(publication, head)
+        if known_result is not None:
+            return known_result
         record = self._make_record(publication, head)
         housekeeping = Housekeeping(self._platform, self._retry, deadline)
-        failure = housekeeping.prepare(publication.document, record, head)
+        failure = housekeeping.write_values(publication.document, record, head)
         if failure is not None:
             return failure
         revision = 0 if head is None else head.revision
         result = self._swap(publication, record, revision, deadline)
         if isinstance(result, Published):
-            housekeeping.clean_up()
+            housekeeping.remove_stale()
         return result
 
     def replace_damaged_head(self, publication: Publication) -> PublishResult:
         """
-        Publish in place of a head record that can't be read.
+        Publish a set in place of a damaged head record.
 
-        The version follows the one that the damaged record must have had, so that
-        every daemon takes it. A head that can be read is left alone.
+        The new version follows the one that the damaged record must have had, so
+        every daemon accepts it. A readable head is not replaced.
         """
         problems = check(publication.document)
         if problems:
             return PublishFailure(PublishProblem.INVALID, str(problems[0]), problems)
         deadline = self._clock() + self._timeout_s
-        damaged = self._store.read_head()
+        head = self._store.read_head()
         history = self._store.read_history()
-        if not isinstance(damaged, LoadFailure):
-            current = None if damaged is None else damaged.record
+        if not isinstance(head, LoadFailure):
+            current = None if head is None else head.record
             return self._conflict(publication, current)
-        if isinstance(history, LoadFailure) or not damaged.revision:
-            return PublishFailure(PublishProblem.UNAVAILABLE, damaged.detail)
-        lost_version = max((item.version for item in history), default=0) + 1
-        following = replace(publication, expected_version=lost_version)
-        record = self._make_record(following, None)
+        if isinstance(history, LoadFailure) or not head.revision:
+            return PublishFailure(PublishProblem.UNAVAILABLE, head.detail)
+        damaged_version = max((item.version for item in history), default=0) + 1
+        adjusted = replace(publication, expected_version=damaged_version)
+        record = self._make_record(adjusted, None)
         housekeeping = Housekeeping(self._platform, self._retry, deadline)
-        failure = housekeeping.prepare(publication.document, record, None)
+        failure = housekeeping.write_values(publication.document, record, None)
         if failure is not None:
             return failure
-        return self._swap(following, record, damaged.revision, deadline)
+        return self._swap(adjusted, record, head.revision, deadline)
 
     def _read_head(self, deadline: float) -> Head | PublishFailure | None:
         while True:
-            head = self._store.read_head(timeout_s=self._call_timeout_s(deadline))
+            head = self._store.read_head(timeout_s=self._request_timeout_s(deadline))
             if not isinstance(head, LoadFailure):
                 return head
             if head.problem is not LoadProblem.UNAVAILABLE:
                 return PublishFailure(PublishProblem.UNREADABLE_HEAD, head.detail)
-            if not self._pause(deadline):
+            if not self._pause_before_retry(deadline):
                 return PublishFailure(PublishProblem.UNAVAILABLE, head.detail)
 
-    def _settled(
+    def _result_without_write(
         self, publication: Publication, head: Head | None
     ) -> PublishResult | None:
-        """Return the result where no write is needed to know it."""
+        """Return the result if it is known without a write, else None."""
         if head is None and publication.onto_empty:
             return None
         version = 0 if head is None else head.record.version
         if version != publication.expected_version:
             current = None if head is None else head.record
             if publication.again:
-                return self._outcome(publication, current)
+                return self._outcome_by_publish_id(publication, current)
             return self._conflict(publication, current)
         if head is not None and head.record.digest == publication.document.digest:
             return Unchanged(head.record)
         return None
 
-    def _outcome(
+    def _outcome_by_publish_id(
         self, publication: Publication, current: HeadRecord | None
     ) -> PublishResult:
-        """Tell by the publish id whether the version after the expected one is ours."""
-        following = publication.expected_version + 1
-        ours: HeadRecord | LoadFailure | None = current
-        if current is not None and current.version > following:
-            ours = self._store.read_version(following)
-            if not isinstance(ours, HeadRecord):
-                detail = "no longer kept" if ours is None else ours.detail
-                what = f"the record of version {following}: {detail}"
+        """Return the outcome; the publish id shows whether our write took effect."""
+        next_version = publication.expected_version + 1
+        candidate: HeadRecord | LoadFailure | None = current
+        if current is not None and current.version > next_version:
+            candidate = self._store.read_version(next_version)
+            if not isinstance(candidate, HeadRecord):
+                detail = "no longer kept" if candidate is None else candidate.detail
+                what = f"the record of version {next_version}: {detail}"
                 return PublishUnknown(publication.publish_id, what)
         if (
-            isinstance(ours, HeadRecord)
-            and ours.version == following
-            and ours.publish_id == publication.publish_id
+            isinstance(candidate, HeadRecord)
+            and candidate.version == next_version
+            and candidate.publish_id == publication.publish_id
         ):
-            return Published(ours, newest=ours == current)
+            return Published(candidate, newest=candidate == current)
         return self._conflict(publication, current)
 
     def _conflict(
@@ -231,27 +232,27 @@
         self, version: int, current: HeadRecord | None
     ) -> tuple[ObjectChange, ...] | None:
         before = self._document_of(version)
-        after = EMPTY if current is None else self._store.load(current)
+        after = EMPTY_DOCUMENT if current is None else self._store.load(current)
         if not isinstance(before, Document) or not isinstance(after, Document):
             return None
         return make_delta(before, after).changes
 
     def _document_of(self, version: int) -> Document | LoadFailure | None:
         if version == 0:
-            return EMPTY
+            return EMPTY_DOCUMENT
         record = self._store.read_version(version)
         return self._store.load(record) if isinstance(record, HeadRecord) else record
 
     def _make_record(self, publication: Publication, head: Head | None) -> HeadRecord:
         document = publication.document
-        before: Document | LoadFailure | None = EMPTY
+        before: Document | LoadFailure | None = EMPTY_DOCUMENT
         if head is not None:
             before = self._store.load(head.record, publication.base)
         delta = None
         if isinstance(before, Document):
-            made = make_delta(before, document)
-            if made.size_bytes <= MAX_INLINE_DELTA_BYTES:
-                delta = to_model(made)
+            new_delta = make_delta(before, document)
+            if new_delta.size_bytes <= MAX_INLINE_DELTA_BYTES:
+                delta = delta_to_model(new_delta)
         return HeadRecord(
             version=publication.expected_version + 1,
             digest=document.digest,
@@ -270,59 +271,61 @@
         revision: int,
         deadline: float,
     ) -> PublishResult:
-        """Swap the head, again after a lost answer, until the outcome is known."""
-        lost = False
+        """Swap the head; retry after a lost reply until the outcome is known."""
+        reply_lost = False
         while True:
             result = self._platform.compare_and_swap(
                 HEAD_KEY,
                 record.to_bytes(),
                 expected_revision=revision,
-                timeout_s=self._call_timeout_s(deadline),
+                timeout_s=self._request_timeout_s(deadline),
             )
             match result:
                 case Entry():
                     return Published(record)
                 case Conflict():
-                    return self._lost_swap(publication, result)
+                    return self._result_of_conflict(publication, result)
                 case PlatformFailure(problem=PlatformProblem.VALUE_TOO_LARGE):
                     return PublishFailure(PublishProblem.TOO_LARGE, result.detail)
-            lost = lost or result.problem is PlatformProblem.ANSWER_LOST
-            if self._pause(deadline):
+            reply_lost = reply_lost or result.problem is PlatformProblem.ANSWER_LOST
+            if self._pause_before_retry(deadline):
                 continue
-            if lost:
+            if reply_lost:
                 return PublishUnknown(publication.publish_id, result.detail)
             return PublishFailure(PublishProblem.UNAVAILABLE, result.detail)
 
-    def _lost_swap(self, publication: Publication, conflict: Conflict) -> PublishResult:
+    def _result_of_conflict(
+        self, publication: Publication, conflict: Conflict
+    ) -> PublishResult:
         if conflict.current is None:
-            return self._outcome(publication, None)
+            return self._outcome_by_publish_id(publication, None)
         current = read_record(conflict.current)
         if isinstance(current, LoadFailure):
             return PublishUnknown(publication.publish_id, current.detail)
-        return self._outcome(publication, current)
+        return self._outcome_by_publish_id(publication, current)
 
     def _retry(
         self,
-        call: Callable[[float], Entry | Conflict | PlatformFailure],
+        write: Callable[[float], Entry | Conflict | PlatformFailure],
         deadline: float,
     ) -> Entry | Conflict | PlatformFailure:
-        """Repeat an idempotent call while the platform gives no answer."""
+        """Send an idempotent write, with retries while the platform does not reply."""
         while True:
-            result = call(self._call_timeout_s(deadline))
-            self._calls += 1
-            self._progress(self._calls)
+            result = write(self._request_timeout_s(deadline))
+            self._write_count += 1
+            self._progress(self._write_count)
             if not isinstance(result, PlatformFailure):
                 return result
             if result.problem is PlatformProblem.VALUE_TOO_LARGE:
                 return result
-            if not self._pause(deadline):
+            if not self._pause_before_retry(deadline):
                 return result
 
-    def _call_timeout_s(self, deadline: float) -> float:
+    def _request_timeout_s(self, deadline: float) -> float:
         return min(CALL_TIMEOUT_S, max(RETRY_PAUSE_S, deadline - self._clock()))
 
-    def _pause(self, deadline: float) -> bool:
-        """Wait before another try; False: the time is up."""
+    def _pause_before_retry(self, deadline: float) -> bool:
+        """Wait before the next attempt; return False if the deadline is too close."""
         if self._clock() + RETRY_PAUSE_S >= deadline:
             return False
         self._sleep(RETRY_PAUSE_S)
--- a/damaskbay/config/ranks.py
+++ b/damaskbay/config/ranks.py
@@ -1,34 +1,43 @@
-"""The order in which requests matter: their workspace first, then their route."""
+"""Request ranks: ordered by the priority of the workspace, then of the route."""
 
 from damaskbay.config.objects import ConfigSet, RankedWorkspace, Route, Workspace
 
 
 class Ranks:
     """
-    Numbers each pair of a workspace's and a route's rank, 0 the most important.
+    Rank of each pair of workspace and route priority; 0 is the most important.
 
-    A workspace without a priority, and a call without a workspace, counts as the
-    most important.
+    A workspace without a priority, and a call without a workspace, has the highest
+    workspace priority.
     """
 
     def __init__(self, config: ConfigSet) -> None:
         self._rank_by_priority = {
             name: priority.rank for name, priority in config.priorities_by_name.items()
         }
-        own = {self._own(item) for item in config.workspaces_by_name.values()}
-        routes = {self._of(item.priority) for item in config.routes_by_name.values()}
-        pairs = sorted((first, second) for first in own | {0} for second in routes)
-        self._number_by_pair = {pair: number for number, pair in enumerate(pairs)}
+        workspace_ranks = {
+            self._workspace_rank(item) for item in config.workspaces_by_name.values()
+        }
+        route_ranks = {
+            self._priority_rank(item.priority)
+            for item in config.routes_by_name.values()
+        }
+        pairs = sorted(
+            (first, second) for first in workspace_ranks | {0} for second in route_ranks
+        )
+        self._rank_by_pair = {
+            pair: rank_of_pair for rank_of_pair, pair in enumerate(pairs)
+        }
 
     def rank(self, route: Route, workspace: Workspace | None) -> int:
-        """Return the rank of a request."""
-        first = self._own(workspace)
-        return self._number_by_pair[first, self._of(route.priority)]
+        """Return the rank of a request; 0 is the most important."""
+        first = self._workspace_rank(workspace)
+        return self._rank_by_pair[first, self._priority_rank(route.priority)]
 
-    def _own(self, workspace: Workspace | None) -> int:
+    def _workspace_rank(self, workspace: Workspace | None) -> int:
         if not isinstance(workspace, RankedWorkspace):
             return 0
-        return self._of(workspace.priority)
+        return self._priority_rank(workspace.priority)
 
-    def _of(self, priority: str | None) -> int:
+    def _priority_rank(self, priority: str | None) -> int:
         return 0 if priority is None else self._rank_by_priority[priority]
--- a/damaskbay/config/store.py
+++ b/damaskbay/config/store.py
@@ -1,4 +1,4 @@
-"""Accepted sets in the platform's key-value service: the reading side."""
+"""Reads published sets from the platform's key-value store."""
 
 import hashlib
 from dataclasses import dataclass
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The record of the set in force with the platform's revision of it."""
+    """The record of the active version, with its revision in the store."""
 
     revision: int
     record: HeadRecord
 
 
 class ConfigStore:
-    """Reads heads and whole sets. Every method blocks; safe from any thread."""
+    """Reads heads and complete sets. Methods block and are thread-safe."""
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
@@ -34,13 +34,13 @@
     def read_head(
         self, *, timeout_s: float = CALL_TIMEOUT_S
     ) -> Head | LoadFailure | None:
-        """Return the head; None: nothing was ever published."""
+        """Return the head, or None if nothing was ever published."""
         return _head_of(self._platform.get(HEAD_KEY, timeout_s=timeout_s))
 
     def watch_head(
         self, *, after_revision: int, timeout_s: float
     ) -> Head | LoadFailure | None:
-        """Wait for a head beyond a revision; None: time is up without one."""
+        """Wait for a head with a newer revision; return None after the timeout."""
         return _head_of(
             self._platform.watch(
                 HEAD_KEY, after_revision=after_revision, timeout_s=timeout_s
@@ -50,7 +50,7 @@
     def read_version(
         self, version: int, *, timeout_s: float = CALL_TIMEOUT_S
     ) -> HeadRecord | LoadFailure | None:
-        """Return the record of any version that is still kept, or None."""
+        """Return the record of a version, or None if it is not kept."""
         head = self.read_head(timeout_s=timeout_s)
         if isinstance(head, Head) and head.record.version == version:
             return head.record
@@ -62,7 +62,7 @@
         return (
             _unavailable(entry)
             if isinstance(entry, PlatformFailure)
-            else (read_record(entry))
+            else read_record(entry)
         )
 
     def read_history(
@@ -71,7 +71,7 @@
         """
         Return the records of the kept versions, oldest first, the head last.
 
-        A damaged head is left out.
+        A damaged head is omitted.
         """
         entries = self._platform.list(HISTORY_PREFIX, timeout_s=timeout_s)
         if isinstance(entries, PlatformFailure):
@@ -94,10 +94,10 @@
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> Document | LoadFailure:
         """
-        Return the whole, checked set of a record, or why there is none.
+        Return the complete, checked set of a record, or a failure.
 
-        Reads nothing where the record's delta leads there from the `held` set,
-        else only the values that differ from it. `timeout_s` is for each call.
+        Nothing is read if the record's delta applies to the `held` set; otherwise
+        only the values that differ from it. `timeout_s` applies to each request.
         """
         if held is not None and held.digest == record.digest:
             return held
@@ -130,7 +130,9 @@
         if entry is None:
             return LoadFailure(LoadProblem.MISSING_PART, f"no value {digest}")
         if hashlib.sha256(entry.value).hexdigest() != digest:
-            return LoadFailure(LoadProblem.DAMAGED_PART, f"the value {digest} differs")
+            return LoadFailure(
+                LoadProblem.DAMAGED_PART, f"the value {digest} has another digest"
+            )
         return entry.value
 
 
--- a/tests/config/test_delta.py
+++ b/tests/config/test_delta.py
@@ -12,7 +12,7 @@
 from damaskbay.config.check_changed import check_changed
 from damaskbay.config.delta import apply_delta, changes_between, make_delta
 from damaskbay.config.document import (
-    EMPTY,
+    EMPTY_DOCUMENT,
     Document,
     canonical_bytes,
     parse_document,
@@ -42,7 +42,7 @@
         document(keys__new={"digest": digest("new"), "workspace": "south"}),
         document(routes__file__deadline_s=7),
         document(priorities__mid={"rank": 3}, routes__home__priority="mid"),
-        EMPTY,
+        EMPTY_DOCUMENT,
     ):
         for old, new in ((one, other), (other, one)):
             result = apply_delta(old, make_delta(old, new))
