--- a/damaskbay/__main__.py
+++ b/damaskbay/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line by `python -m damaskbay`."""
+"""Runs the command line with `python -m damaskbay`."""
 
 import sys
 
--- a/damaskbay/cli/backend.py
+++ b/damaskbay/cli/backend.py
@@ -1,4 +1,4 @@
-"""`damaskbay backend`: serve the stand-in for a backend server."""
+"""`damaskbay backend`: serve a stand-in for a backend server."""
 
 import argparse
 import signal
@@ -21,15 +21,19 @@
     parser.add_argument("--host", default="127.0.0.1", help="IP number")
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--name", default="backend")
-    parser.add_argument("--slots", type=int, default=8, help="requests at once")
+    parser.add_argument("--slots", type=int, default=8, help="concurrent requests")
     parser.add_argument("--threads", type=int, default=64)
-    parser.add_argument("--work-ms", type=float, default=0.0, help="time per request")
-    parser.add_argument("--daemon", help="HOST:PORT of the local daemon's callers")
+    parser.add_argument(
+        "--work-ms", type=float, default=0.0, help="processing time per request"
+    )
+    parser.add_argument(
+        "--daemon", help="HOST:PORT of the local daemon's caller listener"
+    )
     parser.set_defaults(run=run)
 
 
 def run(options: argparse.Namespace) -> int:
-    """Serve until a signal."""
+    """Serve until SIGTERM or SIGINT."""
     daemon = None
     if options.daemon:
         host, _, port = options.daemon.rpartition(":")
@@ -38,8 +42,8 @@
             return EXIT_USAGE
         daemon = PeerAddress(host, int(port))
     stop = threading.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: stop.set())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: stop.set())
     settings = BackendOptions(
         host=options.host,
         port=options.port,
--- a/damaskbay/cli/const.py
+++ b/damaskbay/cli/const.py
@@ -1,4 +1,4 @@
-"""Names and exit codes of the command line."""
+"""Sub-command names and exit codes of the command line."""
 
 from typing import Final
 
@@ -16,7 +16,7 @@
     "backend",
     "platform",
 )
-"""Modules of damaskbay.cli, one per sub-command, in the order of the help."""
+"""Modules of damaskbay.cli, one for each sub-command, in the order of the help."""
 
 EXIT_OK: Final = 0
 EXIT_FAILED: Final = 1
@@ -24,5 +24,5 @@
 EXIT_INVALID: Final = 3
 EXIT_CONFLICT: Final = 4
 EXIT_UNKNOWN: Final = 5
-"""The platform's answer was lost and could not be read back."""
+"""The platform's reply was lost and the outcome could not be read."""
 EXIT_UNAVAILABLE: Final = 6
--- a/damaskbay/cli/daemon.py
+++ b/damaskbay/cli/daemon.py
@@ -20,7 +20,7 @@
     parser = commands.add_parser(
         "daemon",
         help="run the daemon beside a backend server",
-        description="Run the daemon until SIGTERM, which stops it gracefully.",
+        description="Run the daemon until SIGTERM, then drain it and exit.",
         epilog=(
             "example: damaskbay daemon --settings daemon.json; "
             "exit codes: 0 stopped, 1 failed, 3 invalid settings"
@@ -34,7 +34,7 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Check the settings, then run until a signal."""
+    """Check the settings, then run until SIGTERM or SIGINT."""
     settings = load_settings(options.settings)
     if isinstance(settings, SettingsProblem):
         print(settings, file=sys.stderr)
@@ -51,11 +51,11 @@
         log_format=settings.logging.format,
         lines_per_s=settings.logging.lines_per_s,
     )
-    # A thread that checks a large set must not hold up calls for long.
+    # Short switch intervals keep a thread that checks a large set from delaying calls.
     sys.setswitchinterval(SWITCH_INTERVAL_S)
     stop = threading.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: stop.set())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: stop.set())
     try:
         with Daemon(settings, secrets) as daemon:
             print(f"daemon: {settings.instance} listens on {daemon.caller_address}.")
--- a/damaskbay/cli/history.py
+++ b/damaskbay/cli/history.py
@@ -1,4 +1,4 @@
-"""`damaskbay history`: the accepted versions that are still kept."""
+"""`damaskbay history`: list the published versions that are kept."""
 
 import argparse
 import time
@@ -7,10 +7,10 @@
 from damaskbay.cli.const import EXIT_OK, EXIT_UNAVAILABLE
 from damaskbay.cli.documents import print_json
 from damaskbay.cli.platform_option import (
-    Stop,
+    CommandError,
     add_platform_option,
     open_platform,
-    stoppable,
+    with_error_report,
 )
 from damaskbay.config.exceptions import LoadFailure
 from damaskbay.config.head import HeadRecord
@@ -21,13 +21,13 @@
     """Add the sub-command."""
     parser = commands.add_parser(
         "history",
-        help="list the accepted versions",
-        description="List the versions that are still kept, the newest last.",
+        help="list the published versions",
+        description="List the versions that are kept, the newest last.",
         epilog="example: damaskbay history; exit codes: 0, 6 platform unavailable",
     )
     add_platform_option(parser)
     parser.add_argument("--json", action="store_true")
-    parser.set_defaults(run=stoppable("history", run))
+    parser.set_defaults(run=with_error_report("history", run))
 
 
 def run(options: argparse.Namespace) -> int:
@@ -35,30 +35,32 @@
     with open_platform(options) as platform:
         records = ConfigStore(platform).read_history()
     if isinstance(records, LoadFailure):
-        raise Stop(f"{records.problem.value}: {records.detail}", EXIT_UNAVAILABLE)
+        raise CommandError(
+            f"{records.problem.value}: {records.detail}", EXIT_UNAVAILABLE
+        )
     if options.json:
-        print_json([_plain(record) for record in records])
+        print_json([_record_json(record) for record in records])
         return EXIT_OK
     for record in records:
-        print(_line(record))
+        print(_record_line(record))
     return EXIT_OK
 
 
-def _plain(record: HeadRecord) -> dict[str, Any]:
+def _record_json(record: HeadRecord) -> dict[str, Any]:
     plain = record.model_dump(exclude={"packs", "delta"})
-    plain["changes"] = _changes(record)
+    plain["changes"] = _changed_objects(record)
     return plain
 
 
-def _line(record: HeadRecord) -> str:
+def _record_line(record: HeadRecord) -> str:
     at = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(record.published_at))
-    changes = _changes(record)
+    changes = _changed_objects(record)
     what = "many changes" if changes is None else ", ".join(changes[:4])
     more = f" and {len(changes) - 4} more" if changes and len(changes) > 4 else ""
     return f"{record.version:>6}  {at}Z  {record.author:<12}  {what}{more}"
 
 
-def _changes(record: HeadRecord) -> list[str] | None:
+def _changed_objects(record: HeadRecord) -> list[str] | None:
     if record.delta is None:
         return None
     return [f"{item.kind}/{item.name}" for item in record.delta.changes]
--- a/damaskbay/cli/keys.py
+++ b/damaskbay/cli/keys.py
@@ -1,4 +1,4 @@
-"""`damaskbay keys`: grant and withdraw callers' keys."""
+"""`damaskbay keys`: create and withdraw callers' keys."""
 
 import argparse
 import json
@@ -8,14 +8,14 @@
 from damaskbay.cli.const import EXIT_INVALID, EXIT_OK, EXIT_UNKNOWN
 from damaskbay.cli.documents import print_problems
 from damaskbay.cli.platform_option import (
-    Stop,
+    CommandError,
     add_platform_option,
     open_platform,
     read_record,
     read_set,
-    stoppable,
+    with_error_report,
 )
-from damaskbay.cli.publishing import EXIT_CODES, add_author_option, publish
+from damaskbay.cli.publishing import EXIT_CODES_HELP, add_author_option, publish
 from damaskbay.config.document import Document
 from damaskbay.config.objects import Kind
 from damaskbay.config.override import Override, apply_overrides
@@ -26,29 +26,31 @@
 
 
 def add_parser(commands: Any) -> None:
-    """Add the sub-command with its own two."""
+    """Add the sub-command with its actions `new` and `withdraw`."""
     parser = commands.add_parser(
         "keys",
-        help="grant or withdraw a caller's key",
-        description="Grant or withdraw a caller's key by publishing the changed set.",
+        help="create or withdraw a caller's key",
+        description="Create or withdraw a caller's key by publishing the changed set.",
     )
     actions = parser.add_subparsers(dest="action", metavar="ACTION", required=True)
     new = actions.add_parser(
         "new",
-        help="make a key and publish its digest",
-        description="Make a key. Its secret is printed once and kept nowhere.",
-        epilog=f"example: damaskbay keys new site-7 --workspace north; {EXIT_CODES}",
+        help="create a key and publish its digest",
+        description="Create a key. Its secret is printed once and not stored.",
+        epilog=(
+            f"example: damaskbay keys new site-7 --workspace north; {EXIT_CODES_HELP}"
+        ),
     )
     new.add_argument("--workspace", required=True)
     new.add_argument("--expires-at", type=float, help="seconds since 1970 UTC")
-    new.set_defaults(run=stoppable("keys", run_new))
+    new.set_defaults(run=with_error_report("keys", run_new))
     withdraw = actions.add_parser(
         "withdraw",
         help="withdraw a key",
-        description="Take a key out of the set.",
-        epilog=f"example: damaskbay keys withdraw site-7; {EXIT_CODES}",
+        description="Remove a key from the set.",
+        epilog=f"example: damaskbay keys withdraw site-7; {EXIT_CODES_HELP}",
     )
-    withdraw.set_defaults(run=stoppable("keys", run_withdraw))
+    withdraw.set_defaults(run=with_error_report("keys", run_withdraw))
     for action in (new, withdraw):
         action.add_argument("name", help="the key's name in the set")
         add_author_option(action)
@@ -67,8 +69,8 @@
     with open_platform(options) as platform:
         code = _publish(options, platform, tuple(settings))
     if code in {EXIT_OK, EXIT_UNKNOWN}:
-        where = sys.stderr if options.json else sys.stdout
-        print(f"Secret of {options.name}, shown only here: {secret}", file=where)
+        stream = sys.stderr if options.json else sys.stdout
+        print(f"Secret of {options.name}, shown only here: {secret}", file=stream)
     return code
 
 
@@ -86,12 +88,12 @@
     base = read_set(store, record)
     if settings and options.name in base.keys_by_name:
         message = f"there is a key {options.name!r}: choose another name"
-        raise Stop(message, EXIT_INVALID)
+        raise CommandError(message, EXIT_INVALID)
     place = f"{Kind.KEYS.value}/{options.name}"
     result = apply_overrides(base, [Override(place, settings)])
     if not isinstance(result, Document):
         print_problems(result, as_json=options.json)
-        raise Stop("nothing was published", EXIT_INVALID)
+        raise CommandError("nothing was published", EXIT_INVALID)
     version = 0 if record is None else record.version
     publication = Publication(
         result, options.author, version, new_publish_id(), base=base
--- a/damaskbay/cli/operator_models.py
+++ b/damaskbay/cli/operator_models.py
@@ -1,4 +1,4 @@
-"""Documents of the operator listener, checked where the command line reads them."""
+"""Models of the operator listener's documents, as the command line reads them."""
 
 from pydantic import BaseModel, ConfigDict
 
@@ -8,7 +8,7 @@
 
 
 class StatusModel(_Model):
-    """`/status` of one daemon. Ages in seconds, None where nothing is in force."""
+    """`/status` of one daemon. Ages are in seconds, None without an active set."""
 
     instance: str
     incarnation: int
--- a/damaskbay/cli/platform.py
+++ b/damaskbay/cli/platform.py
@@ -1,4 +1,4 @@
-"""`damaskbay platform`: serve the stand-in for the platform."""
+"""`damaskbay platform`: serve a stand-in for the platform."""
 
 import argparse
 import signal
@@ -6,7 +6,7 @@
 from typing import Any
 
 from damaskbay.cli.const import EXIT_FAILED, EXIT_OK
-from damaskbay.cli.platform_option import Stop, stoppable
+from damaskbay.cli.platform_option import CommandError, with_error_report
 from damaskbay.stand_ins.platform import DEFAULT_THREADS, PlatformServer
 
 
@@ -16,8 +16,8 @@
         "platform",
         help="serve a stand-in for the platform's key-value service",
         description=(
-            "Serve the stand-in until SIGTERM. It keeps everything in memory. Its "
-            "faults are read and set at /v1/faults, its calls counted at /v1/counters."
+            "Serve the stand-in until SIGTERM. All data is in memory. Faults are read "
+            "and set at /v1/faults; request counters are read at /v1/counters."
         ),
         epilog="example: damaskbay platform --port 7400",
     )
@@ -27,22 +27,22 @@
         "--threads",
         type=int,
         default=DEFAULT_THREADS,
-        help="calls at once, waiting watches among them",
+        help="concurrent requests, including waiting watches",
     )
-    parser.set_defaults(run=stoppable("platform", run))
+    parser.set_defaults(run=with_error_report("platform", run))
 
 
 def run(options: argparse.Namespace) -> int:
-    """Serve until a signal."""
+    """Serve until SIGTERM or SIGINT."""
     stop = threading.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: stop.set())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: stop.set())
     try:
         server = PlatformServer(
             host=options.host, port=options.port, threads=options.threads
         )
     except OSError as error:
-        raise Stop(f"can't listen: {error}", EXIT_FAILED) from error
+        raise CommandError(f"can't listen: {error}", EXIT_FAILED) from error
     with server:
         print(f"platform: listens on {server.host}:{server.port}.", flush=True)
         stop.wait()
--- a/damaskbay/cli/platform_option.py
+++ b/damaskbay/cli/platform_option.py
@@ -1,4 +1,4 @@
-"""The option that names the platform, and reading sets from it."""
+"""The `--platform` option; reads sets from the platform; reports errors."""
 
 import argparse
 import os
@@ -26,8 +26,8 @@
 Run = Callable[[argparse.Namespace], int]
 
 
-class Stop(Exception):  # noqa: N818
-    """Ends a sub-command with a message and an exit code."""
+class CommandError(Exception):
+    """Ends a sub-command with an error message and an exit code."""
 
     def __init__(self, message: str, exit_code: int) -> None:
         super().__init__(message)
@@ -51,56 +51,62 @@
     address: PeerAddress | None = options.platform
     if address is None:
         message = f"give --platform HOST:PORT or set ${ENVIRONMENT_VARIABLE}"
-        raise Stop(message, EXIT_USAGE)
+        raise CommandError(message, EXIT_USAGE)
     with HttpPlatform(address.host, address.port, name=CLIENT_NAME) as platform:
         yield platform
 
 
-def stoppable(name: str, run: Run) -> Run:
-    """Return the sub-command so that a Stop prints its message and ends it."""
+def with_error_report(name: str, run: Run) -> Run:
+    """Return `run` wrapped so that a CommandError is printed and sets the exit code."""
 
-    def guarded(options: argparse.Namespace) -> int:
+    def run_and_report(options: argparse.Namespace) -> int:
         try:
             return run(options)
-        except Stop as stop:
-            print(f"{name}: {stop}", file=sys.stderr)
-            return stop.exit_code
+        except CommandError as error:
+            print(f"{name}: {error}", file=sys.stderr)
+            return error.exit_code
 
-    return guarded
+    return run_and_report
 
 
 def read_record(store: ConfigStore, version: int | None) -> HeadRecord | None:
-    """Return the record of a version (None: the one in force), None without any."""
+    """
+    Return the record of a version, by default of the active one.
+
+    Returns None if nothing was published, or for version 0.
+    """
     if version == 0:
         return None
     if version is None:
         head = store.read_head()
         if isinstance(head, LoadFailure):
-            raise _stop(head)
+            raise _load_error(head)
         return head.record if isinstance(head, Head) else None
     record = store.read_version(version)
     if isinstance(record, LoadFailure):
-        raise _stop(record)
+        raise _load_error(record)
     if record is None:
-        raise Stop(f"there is no version {version}, or no longer", EXIT_FAILED)
+        raise CommandError(
+            f"there is no version {version}, or it is no longer kept", EXIT_FAILED
+        )
     return record
 
 
 def read_set(store: ConfigStore, record: HeadRecord | None) -> Document:
-    """Return the set of a record; without a record the empty set."""
+    """Return the set of a record, or the empty set if there is no record."""
     if record is None:
         return EMPTY_DOCUMENT
     document = store.load(record)
     if isinstance(document, LoadFailure):
-        raise _stop(document)
+        raise _load_error(document)
     return document
 
 
-def _stop(failure: LoadFailure) -> Stop:
+def _load_error(failure: LoadFailure) -> CommandError:
     code = EXIT_INVALID
     if failure.problem is LoadProblem.UNAVAILABLE:
         code = EXIT_UNAVAILABLE
-    return Stop(f"{failure.problem.value}: {failure.detail}", code)
+    return CommandError(f"{failure.problem.value}: {failure.detail}", code)
 
 
 def _address(text: str) -> PeerAddress:
--- a/damaskbay/cli/progress.py
+++ b/damaskbay/cli/progress.py
@@ -1,17 +1,17 @@
-"""Show how far long work has come, where a person is watching."""
+"""A progress counter for long commands on a terminal."""
 
 import sys
 from types import TracebackType
 from typing import Self, TextIO
 
-SHOWN_EVERY = 10
+UPDATE_INTERVAL = 10
 
 
 class Progress:
     """
-    Counts on one line of a terminal; silent elsewhere.
+    Shows a count on one line of a terminal; prints nothing to other streams.
 
-    Entered as a context manager; call it with the count so far.
+    Use it as a context manager and call it with the current count.
     """
 
     def __init__(self, title: str, stream: TextIO | None = None) -> None:
@@ -32,8 +32,8 @@
             self._stream.write("\n")
 
     def __call__(self, count: int) -> None:
-        """Show the count now and then."""
-        if count % SHOWN_EVERY or not self._stream.isatty():
+        """Show the count if it is a multiple of UPDATE_INTERVAL."""
+        if count % UPDATE_INTERVAL or not self._stream.isatty():
             return
         self._shown = True
         self._stream.write(f"\r{self._title}: {count}")
--- a/damaskbay/cli/publish.py
+++ b/damaskbay/cli/publish.py
@@ -1,4 +1,4 @@
-"""`damaskbay publish`: put a set, or changes of single objects, in force."""
+"""`damaskbay publish`: publish a set, or changes of single objects."""
 
 import argparse
 from typing import Any
@@ -6,14 +6,14 @@
 from damaskbay.cli.const import EXIT_INVALID, EXIT_USAGE
 from damaskbay.cli.documents import print_problems, read_file
 from damaskbay.cli.platform_option import (
-    Stop,
+    CommandError,
     add_platform_option,
     open_platform,
     read_record,
     read_set,
-    stoppable,
+    with_error_report,
 )
-from damaskbay.cli.publishing import EXIT_CODES, add_author_option, publish, report
+from damaskbay.cli.publishing import EXIT_CODES_HELP, add_author_option, publish, report
 from damaskbay.config.document import Document
 from damaskbay.config.override import Override, apply_overrides
 from damaskbay.config.publishing import Publication, Publisher, new_publish_id
@@ -27,14 +27,14 @@
         "publish",
         help="publish a configuration set or change single objects",
         description=(
-            "Publish a whole set from a file on top of the version that it is based "
-            "on, or override single objects of the set in force. The whole result is "
-            "checked; racing publishers never overwrite each other."
+            "Publish a complete set from a file as the successor of the version that "
+            "it is based on, or override single objects of the active set. The result "
+            "is checked as a whole; concurrent publishers never overwrite each other."
         ),
         epilog=(
             "examples: damaskbay publish set.json --expect-version 0; "
             "damaskbay publish --override routes/lookup deadline_s=2 retries=1; "
-            f"damaskbay publish --remove limits/old; {EXIT_CODES}"
+            f"damaskbay publish --remove limits/old; {EXIT_CODES_HELP}"
         ),
     )
     parser.add_argument("file", nargs="?", help='JSON file, "-" for standard input')
@@ -51,12 +51,12 @@
         "--expect-version",
         type=int,
         help="the version to follow (default: the file's based_on_version, else 0; "
-        "for overrides the one in force)",
+        "for overrides the active version)",
     )
     parser.add_argument(
         "--replace-damaged-head",
         action="store_true",
-        help="publish the file in place of a head record that can't be read",
+        help="publish the file in place of a damaged head record",
     )
     parser.add_argument(
         "--onto-empty",
@@ -64,20 +64,23 @@
         help="the platform lost its data: publish the file as the version after "
         "--expect-version, which daemons still hold (see status)",
     )
-    parser.add_argument("--publish-id", help="settle an earlier unknown outcome")
+    parser.add_argument(
+        "--publish-id",
+        help="id of an earlier publication with unknown outcome, to retry it",
+    )
     add_author_option(parser)
     add_platform_option(parser)
     parser.add_argument("--json", action="store_true")
-    parser.set_defaults(run=stoppable("publish", run))
+    parser.set_defaults(run=with_error_report("publish", run))
 
 
 def run(options: argparse.Namespace) -> int:
     """Publish the file or the overrides."""
     overrides = _overrides(options)
     if (options.file is None) == (not overrides):
-        raise Stop("name a file, or --override and --remove", EXIT_USAGE)
+        raise CommandError("name a file, or --override and --remove", EXIT_USAGE)
     if overrides and (options.replace_damaged_head or options.onto_empty):
-        raise Stop("this option needs a whole set from a file", EXIT_USAGE)
+        raise CommandError("this option needs a complete set from a file", EXIT_USAGE)
     with open_platform(options) as platform:
         if overrides:
             publication = _from_overrides(options, overrides, platform)
@@ -93,17 +96,17 @@
     overrides = [Override(place) for place in options.remove]
     for place, *settings in options.override:
         if not settings:
-            raise Stop(f"--override {place}: give FIELD=VALUE", EXIT_USAGE)
+            raise CommandError(f"--override {place}: give FIELD=VALUE", EXIT_USAGE)
         overrides.append(Override(place, tuple(settings)))
     return overrides
 
 
 def _from_file(options: argparse.Namespace) -> Publication:
-    read = read_file(options.file, as_json=options.json)
-    expected = options.expect_version
-    if expected is None:
-        expected = read.based_on_version or 0
-    return _publication(options, read.document, expected)
+    file_set = read_file(options.file, as_json=options.json)
+    expected_version = options.expect_version
+    if expected_version is None:
+        expected_version = file_set.based_on_version or 0
+    return _publication(options, file_set.document, expected_version)
 
 
 def _from_overrides(
@@ -115,7 +118,7 @@
     result = apply_overrides(base, overrides)
     if not isinstance(result, Document):
         print_problems(result, as_json=options.json)
-        raise Stop(f"{len(result)} faults in the resulting set", EXIT_INVALID)
+        raise CommandError(f"{len(result)} faults in the resulting set", EXIT_INVALID)
     version = 0 if record is None else record.version
     return _publication(options, result, version, base)
 
@@ -123,13 +126,13 @@
 def _publication(
     options: argparse.Namespace,
     document: Document,
-    expected: int,
+    expected_version: int,
     base: Document | None = None,
 ) -> Publication:
     return Publication(
         document,
         options.author,
-        expected,
+        expected_version,
         options.publish_id or new_publish_id(),
         again=options.publish_id is not None,
         base=base,
--- a/damaskbay/cli/publishing.py
+++ b/damaskbay/cli/publishing.py
@@ -1,4 +1,4 @@
-"""Publishing from a sub-command: the outcome as text and exit code."""
+"""Publishes from a sub-command and reports the outcome as text and exit code."""
 
 import argparse
 import getpass
@@ -29,7 +29,7 @@
 )
 from damaskbay.ports.platform import Platform
 
-EXIT_CODES = (
+EXIT_CODES_HELP = (
     "exit codes: 0 published or nothing to change, 2 wrong usage, 3 the set has "
     "faults, 4 conflict, 5 outcome unknown, 6 platform unavailable"
 )
@@ -53,9 +53,9 @@
 def report(result: PublishResult, *, as_json: bool) -> int:
     """Print the outcome and return the exit code."""
     if as_json:
-        print_json(_plain(result))
+        print_json(_result_json(result))
     else:
-        _print(result)
+        _print_result(result)
     return _exit_code(result)
 
 
@@ -72,7 +72,7 @@
     return EXIT_INVALID
 
 
-def _print(result: PublishResult) -> None:
+def _print_result(result: PublishResult) -> None:
     match result:
         case Published(record, newest):
             print(f"Published version {record.version}, digest {record.digest[:12]}.")
@@ -107,17 +107,17 @@
     print_changes(conflict.changes)
 
 
-def _plain(result: PublishResult) -> dict[str, Any]:
+def _result_json(result: PublishResult) -> dict[str, Any]:
     match result:
         case Published(record, newest):
-            return {"outcome": "published", "newest": newest, **_record(record)}
+            return {"outcome": "published", "newest": newest, **_record_json(record)}
         case Unchanged(record):
-            return {"outcome": "unchanged", **_record(record)}
+            return {"outcome": "unchanged", **_record_json(record)}
         case PublishConflict(expected_version, current, changes):
             return {
                 "outcome": "conflict",
                 "expected_version": expected_version,
-                "current": None if current is None else _record(current),
+                "current": None if current is None else _record_json(current),
                 "changes": None
                 if changes is None
                 else [f"{item.kind}/{item.name}" for item in changes],
@@ -133,7 +133,7 @@
             }
 
 
-def _record(record: Any) -> dict[str, Any]:
+def _record_json(record: Any) -> dict[str, Any]:
     plain: dict[str, Any] = record.model_dump(exclude={"packs", "delta"})
     return plain
 
--- a/damaskbay/cli/show.py
+++ b/damaskbay/cli/show.py
@@ -1,4 +1,4 @@
-"""`damaskbay show`: a set, or one object of it, as JSON."""
+"""`damaskbay show`: print a set, or one object of it, as JSON."""
 
 import argparse
 from typing import Any
@@ -6,12 +6,12 @@
 from damaskbay.cli.const import EXIT_FAILED, EXIT_OK
 from damaskbay.cli.documents import print_json
 from damaskbay.cli.platform_option import (
-    Stop,
+    CommandError,
     add_platform_option,
     open_platform,
     read_record,
     read_set,
-    stoppable,
+    with_error_report,
 )
 from damaskbay.config.document import to_json
 from damaskbay.config.store import ConfigStore
@@ -21,10 +21,10 @@
     """Add the sub-command."""
     parser = commands.add_parser(
         "show",
-        help="print the set in force, or a part of it",
+        help="print the active set, or a part of it",
         description=(
-            "Print a set as JSON. It names the version that it is based on, so that "
-            "it can be edited and published."
+            "Print a set as JSON. The output contains the version that it is based on, "
+            "so it can be edited and published."
         ),
         epilog=(
             "examples: damaskbay show > set.json; damaskbay show routes/lookup; "
@@ -33,13 +33,13 @@
         ),
     )
     parser.add_argument("place", nargs="?", help="KIND or KIND/NAME")
-    parser.add_argument("--version", type=int, help="default: the one in force")
+    parser.add_argument("--version", type=int, help="default: the active version")
     add_platform_option(parser)
-    parser.set_defaults(run=stoppable("show", run))
+    parser.set_defaults(run=with_error_report("show", run))
 
 
 def run(options: argparse.Namespace) -> int:
-    """Print the set or the part of it."""
+    """Print the set or the requested part of it."""
     with open_platform(options) as platform:
         store = ConfigStore(platform)
         record = read_record(store, options.version)
@@ -51,7 +51,7 @@
     found: Any = plain
     for name in options.place.split("/", 1):
         if not isinstance(found, dict) or name not in found:
-            raise Stop(f"there is no {options.place}", EXIT_FAILED)
+            raise CommandError(f"there is no {options.place}", EXIT_FAILED)
         found = found[name]
     print_json(found)
     return EXIT_OK
--- a/damaskbay/cli/status.py
+++ b/damaskbay/cli/status.py
@@ -1,4 +1,4 @@
-"""`damaskbay status`: which set is in force where, and who is cut off."""
+"""`damaskbay status`: show the active set and state of each daemon."""
 
 import argparse
 import json
@@ -6,7 +6,7 @@
 from typing import Any
 
 from damaskbay.cli.const import EXIT_OK, EXIT_UNAVAILABLE, EXIT_USAGE
-from damaskbay.cli.operator_client import NoAnswer, ask, parse_address
+from damaskbay.cli.operator_client import NoResponse, fetch_document, parse_address
 from damaskbay.cli.operator_models import StatusModel
 
 HEADINGS = ("INSTANCE", "DOMAIN", "SET", "PROVEN", "MEMBERS", "SERVER", "STATE")
@@ -17,11 +17,11 @@
     """Add the sub-command."""
     parser = commands.add_parser(
         "status",
-        help="show which set is in force where",
-        description="Ask daemons which set is in force and how surely.",
+        help="show the active set of daemons",
+        description="Show the active set, its proof age and the state of daemons.",
         epilog=(
             "example: damaskbay status 127.0.0.1:7004 127.0.0.1:7104; "
-            "exit codes: 0 all answered, 6 some did not"
+            "exit codes: 0 all daemons responded, 6 some did not"
         ),
     )
     parser.add_argument("daemons", nargs="+", help="operator address HOST:PORT")
@@ -30,34 +30,34 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Ask each daemon and print a line for it."""
-    answers: list[StatusModel | NoAnswer] = []
+    """Request the status of each daemon and print a line for it."""
+    results: list[StatusModel | NoResponse] = []
     for text in options.daemons:
         address = parse_address(text)
         if address is None:
             print(f"status: {text}: expected HOST:PORT", file=sys.stderr)
             return EXIT_USAGE
-        answers.append(ask(address, "/status", StatusModel))
-    silent = [item for item in answers if isinstance(item, NoAnswer)]
-    found = [item for item in answers if isinstance(item, StatusModel)]
+        results.append(fetch_document(address, "/status", StatusModel))
+    unresponsive = [item for item in results if isinstance(item, NoResponse)]
+    statuses = [item for item in results if isinstance(item, StatusModel)]
     if options.json:
-        _print_json(found, silent)
+        _print_json(statuses, unresponsive)
     else:
-        _print_table(found, silent)
-    return EXIT_UNAVAILABLE if silent else EXIT_OK
+        _print_table(statuses, unresponsive)
+    return EXIT_UNAVAILABLE if unresponsive else EXIT_OK
 
 
-def _print_json(found: list[StatusModel], silent: list[NoAnswer]) -> None:
+def _print_json(statuses: list[StatusModel], unresponsive: list[NoResponse]) -> None:
     document = {
-        "daemons": [item.model_dump() for item in found],
-        "no_answer": {str(item.address): item.detail for item in silent},
+        "daemons": [item.model_dump() for item in statuses],
+        "no_answer": {str(item.address): item.detail for item in unresponsive},
     }
     print(json.dumps(document, indent=2))
 
 
-def _print_table(found: list[StatusModel], silent: list[NoAnswer]) -> None:
+def _print_table(statuses: list[StatusModel], unresponsive: list[NoResponse]) -> None:
     print(ROW.format(*HEADINGS))
-    for item in found:
+    for item in statuses:
         print(
             ROW.format(
                 item.instance,
@@ -69,14 +69,14 @@
                 _state(item),
             )
         )
-    for missing in silent:
-        print(f"{missing.address}: no answer: {missing.detail}")
+    for failure in unresponsive:
+        print(f"{failure.address}: no answer: {failure.detail}")
 
 
 def _state(item: StatusModel) -> str:
-    marks = list(item.why_not_ready)
+    conditions = list(item.why_not_ready)
     if item.platform_outage_for_all:
-        marks.append("platform out for all")
+        conditions.append("platform out for all")
     elif item.cut_off:
-        marks.append("cut off")
-    return ", ".join(marks) or "ready"
+        conditions.append("cut off")
+    return ", ".join(conditions) or "ready"
--- a/damaskbay/cli/trace.py
+++ b/damaskbay/cli/trace.py
@@ -1,4 +1,4 @@
-"""`damaskbay trace`: tell the story of one request from the daemons' log lines."""
+"""`damaskbay trace`: show the log lines of one request and its nested calls."""
 
 import argparse
 import json
@@ -9,23 +9,23 @@
 
 from damaskbay.cli.const import EXIT_FAILED, EXIT_OK
 
-PASSED_OVER = frozenset({"asctime", "levelname", "name", "message", "request_id"})
-NESTED = "."
-"""Between the id of a request and what its nested calls add to it."""
+OMITTED_FIELDS = frozenset({"asctime", "levelname", "name", "message", "request_id"})
+NESTED_SEPARATOR = "."
+"""Separates a request id from the part that a nested call appends to it."""
 
 
 def add_parser(commands: Any) -> None:
     """Add the sub-command."""
     parser = commands.add_parser(
         "trace",
-        help="tell the story of one request from log lines",
+        help="show the log lines of one request",
         description=(
-            "Read the JSON lines of all daemons and print those of a request and of "
-            "the calls made on its behalf, in order of time."
+            "Read JSON log lines of daemons and print those of a request and its "
+            "nested calls, ordered by time."
         ),
         epilog=(
             "example: cat logs/* | damaskbay trace 5c9b8e9deb72260b; "
-            "exit codes: 0 found, 1 no line names the request"
+            "exit codes: 0 found, 1 no log line for the request"
         ),
     )
     parser.add_argument("request_id", help="id of the request")
@@ -34,20 +34,20 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Print the story."""
+    """Print the matching log lines, ordered by time and indented by call depth."""
     found = sorted(
-        _lines_of(options.request_id, _read(options.files)),
+        _records_of(options.request_id, _read_lines(options.files)),
         key=lambda line: str(line.get("asctime", "")),
     )
     for line in found:
-        print(_told(line))
+        print(_format_record(line))
     if not found:
         print(f"no line names {options.request_id}", file=sys.stderr)
         return EXIT_FAILED
     return EXIT_OK
 
 
-def _read(files: list[Path]) -> Iterator[str]:
+def _read_lines(files: list[Path]) -> Iterator[str]:
     if not files:
         yield from sys.stdin
     for path in files:
@@ -55,8 +55,12 @@
             yield from lines
 
 
-def _lines_of(request_id: str, lines: Iterable[str]) -> Iterator[dict[str, Any]]:
-    """Yield the lines that name the request or a call below it; text before is cut."""
+def _records_of(request_id: str, lines: Iterable[str]) -> Iterator[dict[str, Any]]:
+    """
+    Yield the log records of a request and its nested calls.
+
+    Text before the JSON object of a line is ignored.
+    """
     for line in lines:
         start = line.find("{")
         if start < 0 or request_id not in line:
@@ -65,17 +69,19 @@
             record = json.loads(line[start:])
         except ValueError:
             continue
-        named = str(record.get("request_id", ""))
-        if named == request_id or named.startswith(request_id + NESTED):
+        record_id = str(record.get("request_id", ""))
+        if record_id == request_id or record_id.startswith(
+            request_id + NESTED_SEPARATOR
+        ):
             yield record
 
 
-def _told(record: dict[str, Any]) -> str:
-    depth = str(record["request_id"]).count(NESTED)
-    inputs = ", ".join(
+def _format_record(record: dict[str, Any]) -> str:
+    depth = str(record["request_id"]).count(NESTED_SEPARATOR)
+    fields = ", ".join(
         f"{name}={value}"
         for name, value in record.items()
-        if name not in PASSED_OVER and value is not None
+        if name not in OMITTED_FIELDS and value is not None
     )
     indent = "  " * depth
-    return f"{record.get('asctime', '')} {indent}{record.get('message', '')} {inputs}"
+    return f"{record.get('asctime', '')} {indent}{record.get('message', '')} {fields}"
--- a/damaskbay/const.py
+++ b/damaskbay/const.py
@@ -1,4 +1,4 @@
-"""Names and sizes that every package shares."""
+"""Header names and limits that several packages share."""
 
 from typing import Final
 
--- a/tests/cli/test_progress.py
+++ b/tests/cli/test_progress.py
@@ -3,7 +3,7 @@
 import io
 import unittest
 
-from damaskbay.cli.progress import SHOWN_EVERY, Progress
+from damaskbay.cli.progress import UPDATE_INTERVAL, Progress
 from tests.common import function_suite
 
 
@@ -19,7 +19,7 @@
     terminal, pipe = _Terminal(), io.StringIO()
     for stream in (terminal, pipe):
         with Progress("publish", stream) as progress:
-            for count in range(1, 2 * SHOWN_EVERY + 1):
+            for count in range(1, 2 * UPDATE_INTERVAL + 1):
                 progress(count)
     assert terminal.getvalue() == "\rpublish: 10\rpublish: 20\n"
     assert pipe.getvalue() == ""
