--- a/damaskbay/stand_ins/__init__.py
+++ b/damaskbay/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and for a backend server."""
+"""Stand-ins for the platform and for a backend server, for tests and demos."""
--- a/damaskbay/stand_ins/backend.py
+++ b/damaskbay/stand_ins/backend.py
@@ -1,4 +1,4 @@
-"""Stand-in for a backend server: takes its time, calls others, remembers."""
+"""Stand-in for a backend server: simulates work, calls routes, records requests."""
 
 import http.client
 import json
@@ -20,8 +20,8 @@
 HEADER_STATUS: Final = "X-Answer-Status"
 HEADER_BYTES: Final = "X-Answer-Bytes"
 SEEN_PATH: Final = "/.stand-in/seen"
-MAX_TOLD_BODY_BYTES: Final = 1000
-MAX_REMEMBERED: Final = 10_000
+MAX_REPORTED_BODY_BYTES: Final = 1000
+MAX_RECORDED_REQUESTS: Final = 10_000
 
 StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 
@@ -29,11 +29,11 @@
 @dataclass(frozen=True, slots=True)
 class BackendOptions:
     """
-    How the stand-in behaves.
+    Options of the stand-in.
 
-    `work_s` is the usual time of a request in seconds; `slots` is how many run
-    at once, others wait. `daemon` is the local daemon's caller address that
-    nested calls go to.
+    `work_s` is the default processing time of a request in seconds. Up to `slots`
+    requests run concurrently, others wait. `daemon` is the caller address of the
+    local daemon, to which nested calls are sent.
     """
 
     host: str
@@ -46,8 +46,8 @@
 
 
 @dataclass(slots=True)
-class Seen:
-    """One request as the stand-in saw it."""
+class RecordedRequest:
+    """One request as the stand-in received it."""
 
     method: str
     target: str
@@ -57,17 +57,17 @@
 
 @dataclass(slots=True)
 class BackendState:
-    """What may be changed or read while the stand-in runs."""
+    """Fault settings and records, readable and writable while the stand-in runs."""
 
     slow_factor: float = 1.0
     fail_share: float = 0.0
-    seen: list[Seen] = field(default_factory=list)
+    seen: list[RecordedRequest] = field(default_factory=list)
     runs_by_target: dict[str, int] = field(default_factory=dict)
     running: int = 0
 
 
 class BackendStandIn:
-    """A backend server over HTTP; entered as a context manager."""
+    """A backend server over HTTP; a context manager that starts and stops it."""
 
     def __init__(self, options: BackendOptions, *, seed: int = 0) -> None:
         self.options = options
@@ -101,8 +101,8 @@
         self, environ: dict[str, Any], start_response: StartResponse
     ) -> Iterable[bytes]:
         if environ["PATH_INFO"] == SEEN_PATH:
-            return self._tell_seen(start_response)
-        self._remember(environ)
+            return self._report_requests(start_response)
+        self._record_request(environ)
         with self._slots:
             return self._work(environ, start_response)
 
@@ -113,7 +113,7 @@
         work_s = (work_s or self.options.work_s) * self.state.slow_factor
         with self._lock:
             self.state.running += 1
-            failing = self._random.random() < self.state.fail_share
+            fails = self._random.random() < self.state.fail_share
         try:
             if work_s > 0:
                 time.sleep(work_s)
@@ -121,12 +121,12 @@
         finally:
             with self._lock:
                 self.state.running -= 1
-        if failing:
+        if fails:
             start_response("500 Internal Server Error", [])
             return []
-        return self._answer(environ, start_response, nested)
+        return self._respond(environ, start_response, nested)
 
-    def _answer(
+    def _respond(
         self,
         environ: dict[str, Any],
         start_response: StartResponse,
@@ -155,7 +155,7 @@
         start_response(f"{status} Fixed", headers)
         return [] if environ["REQUEST_METHOD"] == "HEAD" else [body]
 
-    def _tell_seen(self, start_response: StartResponse) -> Iterable[bytes]:
+    def _report_requests(self, start_response: StartResponse) -> Iterable[bytes]:
         with self._lock:
             seen = list(self.state.seen)
         body = json.dumps(
@@ -164,7 +164,7 @@
                     "method": item.method,
                     "target": item.target,
                     "headers": item.headers,
-                    "body": item.body[:MAX_TOLD_BODY_BYTES].decode("latin-1"),
+                    "body": item.body[:MAX_REPORTED_BODY_BYTES].decode("latin-1"),
                 }
                 for item in seen
             ]
@@ -172,7 +172,7 @@
         start_response("200 OK", [("Content-Length", str(len(body)))])
         return [body]
 
-    def _remember(self, environ: dict[str, Any]) -> None:
+    def _record_request(self, environ: dict[str, Any]) -> None:
         body = environ["wsgi.input"].read()
         environ["wsgi.input"].seek(0)
         headers = tuple(
@@ -181,16 +181,16 @@
             if name.startswith("HTTP_")
         )
         target = environ["REQUEST_URI"]
-        seen = Seen(environ["REQUEST_METHOD"], target, headers, body)
+        seen = RecordedRequest(environ["REQUEST_METHOD"], target, headers, body)
         with self._lock:
             self.state.runs_by_target[target] = (
                 self.state.runs_by_target.get(target, 0) + 1
             )
-            if len(self.state.seen) < MAX_REMEMBERED:
+            if len(self.state.seen) < MAX_RECORDED_REQUESTS:
                 self.state.seen.append(seen)
 
     def _call_nested(self, environ: dict[str, Any]) -> list[int]:
-        """Call the paths named in the header, one after the other."""
+        """Call the first path in the header; pass the rest on to its backend server."""
         paths = _header(environ, HEADER_NESTED)
         if not paths or self.options.daemon is None:
             return []
--- a/damaskbay/stand_ins/memory_platform.py
+++ b/damaskbay/stand_ins/memory_platform.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service inside this process, with fault switches."""
+"""In-memory stand-in for the platform's key-value store, with fault injection."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -13,8 +13,8 @@
 from damaskbay.stand_ins.platform_store import PlatformStore
 
 
-class _Shared:
-    """What all clients of one stand-in have in common."""
+class _SharedState:
+    """State that all clients of one stand-in share."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
@@ -26,36 +26,36 @@
 
 class MemoryPlatform:
     """
-    Implements ports.platform.Platform; safe from any thread.
+    A thread-safe implementation of ports.platform.Platform.
 
-    `client(name)` gives another client of the same store, which `inject` can
-    cut off by name.
+    `client(name)` returns another client of the same store; `inject` can cut off
+    clients by name.
     """
 
     def __init__(
         self, *, clock: Callable[[], float] = monotonic_s, name: str = ""
     ) -> None:
-        self._shared = _Shared(clock)
+        self._shared = _SharedState(clock)
         self.name = name
 
     def client(self, name: str) -> "MemoryPlatform":
-        """Return a client of the same store under a name of its own."""
+        """Return a client of the same store with another name."""
         other = MemoryPlatform(name=name)
         other._shared = self._shared
         return other
 
     @property
     def faults(self) -> Faults:
-        """Return the faults that hold now."""
+        """Return the active faults."""
         return self._shared.faults
 
     @property
     def counters(self) -> Counters:
-        """Return the live counters of calls by all clients."""
+        """Return the live counters of the requests of all clients."""
         return self._shared.meter.counters
 
     def inject(self, **changes: Any) -> Faults:
-        """Change fault switches by name (see Faults) and return what holds now."""
+        """Change faults by field name (see Faults); return the active faults."""
         with self._shared.changed:
             self._shared.faults = replace(self._shared.faults, **changes)
             self._shared.changed.notify_all()
@@ -63,7 +63,7 @@
 
     @contextmanager
     def fault(self, **changes: Any) -> Iterator[None]:
-        """Hold faults for the length of a `with` block."""
+        """Inject faults for the duration of a `with` block."""
         before = self.faults
         self.inject(**changes)
         try:
@@ -72,8 +72,8 @@
             self.inject(**{name: getattr(before, name) for name in changes})
 
     def get(self, key: str, *, timeout_s: float) -> Entry | PlatformFailure | None:
-        """Return the entry, or None where there is none."""
-        failure = self._begin(CallKind.READ, timeout_s)
+        """Return the entry, or None if there is none."""
+        failure = self._faults_before_effect(CallKind.READ, timeout_s)
         if failure is not None:
             return failure
         with self._shared.changed:
@@ -83,7 +83,7 @@
         self, prefix: str, *, timeout_s: float
     ) -> tuple[Entry, ...] | PlatformFailure:
         """Return all entries whose key starts with the prefix, in key order."""
-        failure = self._begin(CallKind.READ, timeout_s)
+        failure = self._faults_before_effect(CallKind.READ, timeout_s)
         if failure is not None:
             return failure
         with self._shared.changed:
@@ -98,8 +98,8 @@
         lease_s: float | None = None,
         timeout_s: float,
     ) -> Entry | Conflict | PlatformFailure:
-        """Write if the entry's revision is the expected one; 0 means absent."""
-        failure = self._begin(CallKind.WRITE, timeout_s)
+        """Write if the entry has the expected revision; 0 means absent."""
+        failure = self._faults_before_effect(CallKind.WRITE, timeout_s)
         if failure is not None:
             return failure
         with self._shared.changed:
@@ -111,13 +111,13 @@
                 now=self._shared.clock(),
             )
             self._shared.changed.notify_all()
-        return self._end_write(timeout_s) or result
+        return self._faults_after_write(timeout_s) or result
 
     def delete(
         self, key: str, *, expected_revision: int, timeout_s: float
     ) -> Entry | Conflict | PlatformFailure | None:
-        """Delete if the entry's revision is the expected one."""
-        failure = self._begin(CallKind.WRITE, timeout_s)
+        """Delete if the entry has the expected revision; return None if absent."""
+        failure = self._faults_before_effect(CallKind.WRITE, timeout_s)
         if failure is not None:
             return failure
         with self._shared.changed:
@@ -126,76 +126,78 @@
                 key, expected_revision=expected_revision, now=now
             )
             self._shared.changed.notify_all()
-        return self._end_write(timeout_s) or result
+        return self._faults_after_write(timeout_s) or result
 
     def watch(
         self, key: str, *, after_revision: int, timeout_s: float
     ) -> Entry | PlatformFailure | None:
-        """Wait until the entry's revision exceeds the given one; None: time is up."""
-        failure = self._begin(CallKind.WATCH, timeout_s)
+        """Wait until the entry has a newer revision; return None after the timeout."""
+        failure = self._faults_before_effect(CallKind.WATCH, timeout_s)
         if failure is not None:
             return failure
-        give_up_at = time.monotonic() + timeout_s
+        deadline = time.monotonic() + timeout_s
         with self._shared.changed:
             self.counters.waiting += 1
             try:
-                return self._wait(key, after_revision, give_up_at)
+                return self._wait(key, after_revision, deadline)
             finally:
                 self.counters.waiting -= 1
 
     def _wait(
-        self, key: str, after_revision: int, give_up_at: float
+        self, key: str, after_revision: int, deadline: float
     ) -> Entry | PlatformFailure | None:
-        """Wait for a newer entry with the condition held."""
+        """Wait for a newer entry; the caller holds the condition's lock."""
         while True:
             if self.faults.unreachable(self.name):
                 return _unavailable("the watch ended")
             entry = self._shared.store.get(key, self._shared.clock())
             if entry is not None and entry.revision > after_revision:
                 return entry
-            left_s = give_up_at - time.monotonic()
-            if left_s <= 0:
+            remaining_s = deadline - time.monotonic()
+            if remaining_s <= 0:
                 return None
-            self._shared.changed.wait(left_s)
+            self._shared.changed.wait(remaining_s)
 
-    def _begin(self, kind: CallKind, timeout_s: float) -> PlatformFailure | None:
-        """Count the call and bring about the faults that come before its effect."""
+    def _faults_before_effect(
+        self, kind: CallKind, timeout_s: float
+    ) -> PlatformFailure | None:
+        """Count the request and apply the faults that occur before its effect."""
         with self._shared.changed:
             faults = self.faults
             if faults.unreachable(self.name):
                 return _unavailable("outage")
             now = self._shared.clock()
-            if self._shared.meter.busy(kind, self.name, faults, now):
+            if self._shared.meter.exceeds_limit(kind, self.name, faults, now):
                 return PlatformFailure(PlatformProblem.BUSY, "above the call rate")
             if kind is CallKind.WRITE and faults.drop_writes > 0:
                 self._shared.faults = replace(
                     faults, drop_writes=faults.drop_writes - 1
                 )
-                return _answer_lost()
+                return _reply_lost()
         if kind is CallKind.READ and faults.delay_s > 0:
             time.sleep(min(faults.delay_s, timeout_s))
             if faults.delay_s >= timeout_s:
                 return _unavailable("no answer in time")
         return None
 
-    def _end_write(self, timeout_s: float) -> PlatformFailure | None:
-        """Bring about the faults that come after the effect of a write."""
+    def _faults_after_write(self, timeout_s: float) -> PlatformFailure | None:
+        """Apply the faults that occur after the effect of a write."""
         with self._shared.changed:
             faults = self.faults
-            lost = faults.lose_answers > 0
-            if lost:
+            reply_lost = faults.lose_answers > 0
+            if reply_lost:
                 self._shared.faults = replace(
                     faults, lose_answers=faults.lose_answers - 1
                 )
         if faults.delay_s > 0:
             time.sleep(min(faults.delay_s, timeout_s))
-            lost = lost or faults.delay_s >= timeout_s
-        return _answer_lost() if lost else None
+            reply_lost = reply_lost or faults.delay_s >= timeout_s
+        return _reply_lost() if reply_lost else None
 
 
 def _unavailable(detail: str) -> PlatformFailure:
     return PlatformFailure(PlatformProblem.UNAVAILABLE, detail)
 
 
-def _answer_lost() -> PlatformFailure:
-    return PlatformFailure(PlatformProblem.ANSWER_LOST, "the answer was lost")
+def _reply_lost() -> PlatformFailure:
+    return PlatformFailure(PlatformProblem.ANSWER_LOST, "the reply was lost")
--- a/damaskbay/stand_ins/platform.py
+++ b/damaskbay/stand_ins/platform.py
@@ -1,4 +1,4 @@
-"""The platform stand-in over HTTP, with an operator endpoint for its faults."""
+"""HTTP server of the platform stand-in, with endpoints for faults and counters."""
 
 import logging
 import threading
@@ -29,7 +29,7 @@
 MAX_CONNECTIONS = 2000
 _LOOP_S = 0.5
 _CALL_TIMEOUT_S = 60.0
-_MISSING_BYTES = 100
+_TRUNCATED_BYTES = 100
 _FAULTS = TypeAdapter(Faults)
 _COUNTERS = TypeAdapter(Counters)
 _STATUS_BY_PROBLEM = {
@@ -40,7 +40,7 @@
 
 
 class _Query(BaseModel):
-    """The query of any call; each path needs some of the fields."""
+    """The query parameters of all endpoints; each endpoint uses some of them."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -53,27 +53,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Call:
+class _Request:
     platform: MemoryPlatform
     query: _Query
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class _Reply:
-    """What to answer; a `cut_short` answer ends before its promised length."""
+class _Response:
+    """An HTTP response; if truncated, it ends before its Content-Length."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    cut_short: bool = False
+    truncated: bool = False
 
 
 class PlatformServer:
     """
-    Serves a MemoryPlatform on an IP number; entered and left as a context manager.
+    Serves a MemoryPlatform on an IP number; a context manager.
 
-    Port 0 takes a free one: see `port`. A waiting watch holds one of `threads`.
+    Port 0 selects a free port, shown by `port`. A waiting watch occupies one of
+    the `threads`.
     """
 
     def __init__(
@@ -131,101 +132,111 @@
 def _application(
     platform: MemoryPlatform,
 ) -> Callable[[dict[str, Any], Callable[..., Any]], Iterable[bytes]]:
-    """Return the WSGI application of the interface."""
+    """Return the WSGI application that serves the platform's HTTP interface."""
 
     def application(
         environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        reply = _answer(platform, environ)
-        length = len(reply.body) + (_MISSING_BYTES if reply.cut_short else 0)
-        headers = [*reply.headers.items(), ("Content-Length", str(length))]
-        phrase = HTTPStatus(reply.status).phrase
-        start_response(f"{reply.status} {phrase}", headers)
-        return [reply.body]
+        response = _handle(platform, environ)
+        length = len(response.body) + (_TRUNCATED_BYTES if response.truncated else 0)
+        headers = [*response.headers.items(), ("Content-Length", str(length))]
+        phrase = HTTPStatus(response.status).phrase
+        start_response(f"{response.status} {phrase}", headers)
+        return [response.body]
 
     return application
 
 
-def _answer(platform: MemoryPlatform, environ: dict[str, Any]) -> _Reply:
-    place = (environ["REQUEST_METHOD"], environ["PATH_INFO"])
-    handler = _HANDLERS_BY_PLACE.get(place)
+def _handle(platform: MemoryPlatform, environ: dict[str, Any]) -> _Response:
+    endpoint = (environ["REQUEST_METHOD"], environ["PATH_INFO"])
+    handler = _HANDLERS_BY_ENDPOINT.get(endpoint)
     if handler is None:
-        return _Reply(HTTPStatus.NOT_FOUND, body=b"no such path")
-    named = parse_qs(environ["QUERY_STRING"], keep_blank_values=True)
+        return _Response(HTTPStatus.NOT_FOUND, body=b"no such path")
+    parameters = parse_qs(environ["QUERY_STRING"], keep_blank_values=True)
     try:
-        query = _Query.model_validate({name: item[-1] for name, item in named.items()})
+        query = _Query.model_validate(
+            {name: item[-1] for name, item in parameters.items()}
+        )
         client = platform.client(environ.get("HTTP_PLATFORM_CLIENT", ""))
-        return handler(_Call(client, query, environ["wsgi.input"].read()))
+        return handler(_Request(client, query, environ["wsgi.input"].read()))
     except ValidationError as error:
-        return _Reply(HTTPStatus.BAD_REQUEST, body=str(error).encode())
+        return _Response(HTTPStatus.BAD_REQUEST, body=str(error).encode())
 
 
-def _get(call: _Call) -> _Reply:
-    return _reply(call.platform.get(call.query.key, timeout_s=_CALL_TIMEOUT_S))
+def _get(request: _Request) -> _Response:
+    return _to_response(
+        request.platform.get(request.query.key, timeout_s=_CALL_TIMEOUT_S)
+    )
 
 
-def _list(call: _Call) -> _Reply:
-    result = call.platform.list(call.query.prefix, timeout_s=_CALL_TIMEOUT_S)
+def _list(request: _Request) -> _Response:
+    result = request.platform.list(request.query.prefix, timeout_s=_CALL_TIMEOUT_S)
     if isinstance(result, PlatformFailure):
-        return _reply(result)
+        return _to_response(result)
     entries = tuple(
         EntryModel(key=item.key, value=b64encode(item.value), revision=item.revision)
         for item in result
     )
-    return _Reply(
+    return _Response(
         const.STATUS_OK, body=ListModel(entries=entries).model_dump_json().encode()
     )
 
 
-def _put(call: _Call) -> _Reply:
-    result = call.platform.compare_and_swap(
-        call.query.key,
-        call.body,
-        expected_revision=call.query.expected_revision,
-        lease_s=call.query.lease_s,
+def _put(request: _Request) -> _Response:
+    result = request.platform.compare_and_swap(
+        request.query.key,
+        request.body,
+        expected_revision=request.query.expected_revision,
+        lease_s=request.query.lease_s,
         timeout_s=_CALL_TIMEOUT_S,
     )
-    reply = _reply(result)
-    return _Reply(reply.status, reply.headers) if reply.status == 200 else reply
+    response = _to_response(result)
+    return (
+        _Response(response.status, response.headers)
+        if response.status == 200
+        else response
+    )
 
 
-def _delete(call: _Call) -> _Reply:
-    return _reply(
-        call.platform.delete(
-            call.query.key,
-            expected_revision=call.query.expected_revision,
+def _delete(request: _Request) -> _Response:
+    return _to_response(
+        request.platform.delete(
+            request.query.key,
+            expected_revision=request.query.expected_revision,
             timeout_s=_CALL_TIMEOUT_S,
         )
     )
 
 
-def _watch(call: _Call) -> _Reply:
-    return _reply(
-        call.platform.watch(
-            call.query.key,
-            after_revision=call.query.after_revision,
-            timeout_s=call.query.timeout_s,
+def _watch(request: _Request) -> _Response:
+    return _to_response(
+        request.platform.watch(
+            request.query.key,
+            after_revision=request.query.after_revision,
+            timeout_s=request.query.timeout_s,
         )
     )
 
 
-def _show_faults(call: _Call) -> _Reply:
-    return _Reply(const.STATUS_OK, body=_FAULTS.dump_json(call.platform.faults))
+def _show_faults(request: _Request) -> _Response:
+    return _Response(const.STATUS_OK, body=_FAULTS.dump_json(request.platform.faults))
 
 
-def _set_faults(call: _Call) -> _Reply:
-    """Put the faults in place that the JSON body names; the others end."""
-    faults = _FAULTS.validate_json(call.body)
-    call.platform.inject(**asdict(faults))
+def _set_faults(request: _Request) -> _Response:
+    """Set the faults in the JSON body; reset all others."""
+    faults = _FAULTS.validate_json(request.body)
+    request.platform.inject(**asdict(faults))
     _LOGGER.info("platform: faults set: %s.", faults)
-    return _show_faults(call)
+    return _show_faults(request)
 
 
-def _show_counters(call: _Call) -> _Reply:
-    return _Reply(const.STATUS_OK, body=_COUNTERS.dump_json(call.platform.counters))
+def _show_counters(request: _Request) -> _Response:
+    return _Response(
+        const.STATUS_OK, body=_COUNTERS.dump_json(request.platform.counters)
+    )
 
 
-_HANDLERS_BY_PLACE: dict[tuple[str, str], Callable[[_Call], _Reply]] = {
+_HANDLERS_BY_ENDPOINT: dict[tuple[str, str], Callable[[_Request], _Response]] = {
     ("GET", const.PATH_ENTRY): _get,
     ("GET", const.PATH_LIST): _list,
     ("GET", const.PATH_WATCH): _watch,
@@ -237,19 +248,19 @@
 }
 
 
-def _reply(result: Entry | Conflict | PlatformFailure | None) -> _Reply:
+def _to_response(result: Entry | Conflict | PlatformFailure | None) -> _Response:
     if result is None:
-        return _Reply(const.STATUS_NOTHING, {const.HEADER_ABSENT: "1"})
+        return _Response(const.STATUS_NOTHING, {const.HEADER_ABSENT: "1"})
     if isinstance(result, Entry):
         headers = {const.HEADER_REVISION: str(result.revision)}
-        return _Reply(const.STATUS_OK, headers, result.value)
+        return _Response(const.STATUS_OK, headers, result.value)
     if isinstance(result, Conflict):
         if result.current is None:
-            return _Reply(const.STATUS_CONFLICT)
-        current = _reply(result.current)
-        return _Reply(const.STATUS_CONFLICT, current.headers, current.body)
+            return _Response(const.STATUS_CONFLICT)
+        current = _to_response(result.current)
+        return _Response(const.STATUS_CONFLICT, current.headers, current.body)
     status = _STATUS_BY_PROBLEM.get(result.problem)
     if status is None:
-        return _Reply(const.STATUS_OK, cut_short=True)
+        return _Response(const.STATUS_OK, truncated=True)
     headers = {const.HEADER_NO_EFFECT: "1"}
-    return _Reply(status, headers, result.detail.encode())
+    return _Response(status, headers, result.detail.encode())
--- a/damaskbay/stand_ins/platform_faults.py
+++ b/damaskbay/stand_ins/platform_faults.py
@@ -1,4 +1,4 @@
-"""Fault switches and call counters of the platform stand-in."""
+"""Faults and request counters of the platform stand-in."""
 
 from collections import Counter, deque
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 
 class CallKind(Enum):
-    """What a call counts as. A waiting watch counts as one call."""
+    """How a request is counted. A waiting watch counts as one request."""
 
     READ = "read"
     WRITE = "write"
@@ -18,12 +18,13 @@
 @dataclass(frozen=True, slots=True)
 class Faults:
     """
-    What is wrong with the platform.
+    The faults to inject.
 
-    `delay_s` slows each call but watches. `lose_answers`: so many of the next
-    writes take effect and their answers are lost. `drop_writes`: so many of the
-    next writes are lost on the way there. `cut_clients` can't reach it. The
-    limits refuse calls above a rate as busy; None means no limit.
+    `delay_s` delays each request except watches. `lose_answers` is the number of
+    next writes that take effect but whose replies are lost; `drop_writes` is the
+    number of next writes that are lost before they take effect. `cut_clients`
+    cannot reach the platform. Requests above the maximum rates fail as busy; None
+    means no limit.
     """
 
     outage: bool = False
@@ -35,16 +36,16 @@
     max_writes_per_s: int | None = None
 
     def unreachable(self, client: str) -> bool:
-        """Tell whether this client's calls have no effect at all."""
+        """Return whether no request of this client reaches the platform."""
         return self.outage or client in self.cut_clients
 
 
 @dataclass(slots=True)
 class Counters:
     """
-    Calls so far, refused ones included. `waiting` watches are open now.
+    Requests so far, including busy ones; `waiting` is the number of open watches.
 
-    Reads include watches, as the platform's rate does.
+    Reads include watches, as in the platform's rate limit.
     """
 
     reads: int = 0
@@ -56,26 +57,28 @@
 
 
 class CallMeter:
-    """Counts calls and tells which ones exceed the limits of a second."""
+    """Counts requests and applies the limits per second."""
 
     def __init__(self) -> None:
         self.counters = Counters()
         self._recent_reads: deque[float] = deque()
         self._recent_writes: deque[float] = deque()
 
-    def busy(self, kind: CallKind, client: str, faults: Faults, now: float) -> bool:
-        """Count one call; tell whether it has to be refused as busy."""
+    def exceeds_limit(
+        self, kind: CallKind, client: str, faults: Faults, now: float
+    ) -> bool:
+        """Count one request; return whether it exceeds the limit and fails as busy."""
         counters = self.counters
         counters.by_client[client] += 1
         if kind is CallKind.WRITE:
             counters.writes += 1
-            refused = _exceeds(self._recent_writes, faults.max_writes_per_s, now)
+            exceeded = _exceeds(self._recent_writes, faults.max_writes_per_s, now)
         else:
             counters.reads += 1
             counters.watches += kind is CallKind.WATCH
-            refused = _exceeds(self._recent_reads, faults.max_reads_per_s, now)
-        counters.busy += refused
-        return refused
+            exceeded = _exceeds(self._recent_reads, faults.max_reads_per_s, now)
+        counters.busy += exceeded
+        return exceeded
 
 
 def _exceeds(recent: deque[float], limit: int | None, now: float) -> bool:
--- a/damaskbay/stand_ins/platform_store.py
+++ b/damaskbay/stand_ins/platform_store.py
@@ -1,4 +1,4 @@
-"""The decisions of a key-value service: revisions, compare-and-swap, leases."""
+"""An in-memory key-value store with revisions, compare-and-swap and leases."""
 
 from dataclasses import dataclass
 
@@ -7,24 +7,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Stored:
+class _StoredEntry:
     entry: Entry
     expires_at: float | None
 
 
 class PlatformStore:
     """
-    Entries by key with one growing revision for all of them.
+    Entries by key; all entries share one increasing revision counter.
 
-    `now` is in seconds of any one monotonic clock.
+    `now` is in seconds of any monotonic clock, the same for all methods.
     """
 
     def __init__(self) -> None:
-        self._stored_by_key: dict[str, _Stored] = {}
+        self._stored_by_key: dict[str, _StoredEntry] = {}
         self._revision = 0
 
     def get(self, key: str, now: float) -> Entry | None:
-        """Return the entry that stands and whose lease, if any, has not lapsed."""
+        """Return the entry, or None if it is absent or its lease has expired."""
         stored = self._stored_by_key.get(key)
         if stored is None:
             return None
@@ -34,7 +34,7 @@
         return stored.entry
 
     def list(self, prefix: str, now: float) -> tuple[Entry, ...]:
-        """Return the entries under a prefix in key order."""
+        """Return the entries whose key starts with the prefix, in key order."""
         keys = sorted(key for key in self._stored_by_key if key.startswith(prefix))
         found = (self.get(key, now) for key in keys)
         return tuple(entry for entry in found if entry is not None)
@@ -48,7 +48,7 @@
         lease_s: float | None,
         now: float,
     ) -> Entry | Conflict | PlatformFailure:
-        """Write where the revision is the expected one (0: absent)."""
+        """Write if the entry has the expected revision (0: absent)."""
         if len(value) > MAX_PLATFORM_VALUE_BYTES:
             detail = f"{len(value)} bytes exceed {MAX_PLATFORM_VALUE_BYTES}"
             return PlatformFailure(PlatformProblem.VALUE_TOO_LARGE, detail)
@@ -58,13 +58,13 @@
         self._revision += 1
         entry = Entry(key, value, self._revision)
         expires_at = None if lease_s is None else now + lease_s
-        self._stored_by_key[key] = _Stored(entry, expires_at)
+        self._stored_by_key[key] = _StoredEntry(entry, expires_at)
         return entry
 
     def delete(
         self, key: str, *, expected_revision: int, now: float
     ) -> Entry | Conflict | None:
-        """Delete where the revision is the expected one; None: nothing stood there."""
+        """Delete if the entry has the expected revision; return None if absent."""
         current = self.get(key, now)
         if current is None:
             return None
--- a/tests/cli/test_operators.py
+++ b/tests/cli/test_operators.py
@@ -36,14 +36,14 @@
 
 @dataclass
 class _Shell:
-    """Runs sub-commands against one platform in a directory of its own."""
+    """Runs sub-commands with one platform stand-in and a temporary directory."""
 
     server: PlatformServer
     directory: Path
     output: str = ""
 
     def run(self, *arguments: str, platform: bool = True) -> int:
-        """Run and return the exit code; `output` is what was printed."""
+        """Run a sub-command, store what it prints in `output`, return the exit code."""
         options = [f"--platform=127.0.0.1:{self.server.port}"] if platform else []
         printed = io.StringIO()
         with contextlib.redirect_stdout(printed), contextlib.redirect_stderr(printed):
@@ -52,7 +52,7 @@
         return code
 
     def json(self, *arguments: str) -> Any:
-        """Run and return the JSON that was printed."""
+        """Run a sub-command and return the JSON that it prints."""
         self.run(*arguments)
         return json.loads(self.output)
 
@@ -64,22 +64,22 @@
 
 
 @contextlib.contextmanager
-def _shell() -> Iterator[_Shell]:
+def _open_shell() -> Iterator[_Shell]:
     with tempfile.TemporaryDirectory() as name, PlatformServer() as server:
         yield _Shell(server, Path(name))
 
 
 def test_check_lists_every_fault() -> None:
-    """With exit code 3, also as JSON; a good set has exit code 0."""
-    with _shell() as shell:
-        good, bad = shell.write(SAMPLE), shell.write(
+    """An invalid set gives exit code 3 and all problems, a valid set exit code 0."""
+    with _open_shell() as shell:
+        valid, invalid = shell.write(SAMPLE), shell.write(
             sample(routes__file__pool="gone", keys__x={}), "bad.json"
         )  # fmt: skip
-        assert shell.run("check", good, platform=False) == EXIT_OK
-        assert shell.run("check", bad, platform=False) == EXIT_INVALID
+        assert shell.run("check", valid, platform=False) == EXIT_OK
+        assert shell.run("check", invalid, platform=False) == EXIT_INVALID
         assert "routes/file pool: there is no 'gone'" in shell.output
         assert "keys/x digest: field required" in shell.output
-        shell.run("check", bad, "--json", platform=False)
+        shell.run("check", invalid, "--json", platform=False)
         document, _ = json.JSONDecoder().raw_decode(shell.output)
         assert len(document["problems"]) == 3
         assert shell.run("check", "/none", platform=False) == EXIT_USAGE
@@ -89,8 +89,8 @@
 
 
 def test_publish_edit_and_conflict() -> None:
-    """The file that `show` prints can be edited and published, once."""
-    with _shell() as shell:
+    """The output of `show` can be edited and published; a second edit conflicts."""
+    with _open_shell() as shell:
         first = shell.write(SAMPLE)
         assert shell.run("publish", first, "--author=ann") == EXIT_OK
         assert shell.run("diff", "head", first) == EXIT_OK
@@ -116,8 +116,8 @@
 
 
 def test_an_override_is_checked_with_the_whole_set() -> None:
-    """A lone override can't leave a dangling reference."""
-    with _shell() as shell:
+    """An override or removal that breaks a reference is not published."""
+    with _open_shell() as shell:
         shell.run("publish", shell.write(SAMPLE))
         override = ("publish", "--override", "routes/file")
         assert shell.run(*override, "deadline_s=1") == EXIT_INVALID
@@ -140,7 +140,7 @@
 
 def test_keys_are_granted_and_withdrawn() -> None:
     """The secret is printed once; only its digest is published."""
-    with _shell() as shell:
+    with _open_shell() as shell:
         shell.run("publish", shell.write(SAMPLE))
         assert shell.run("keys", "new", "site-7", "--workspace=north") == EXIT_OK
         secret = shell.output.rsplit(" ", 1)[1].strip()
@@ -158,8 +158,8 @@
 
 
 def test_a_lost_answer_is_reported_as_published() -> None:
-    """And an outage as no effect."""
-    with _shell() as shell:
+    """A lost reply is resolved to success; an outage gives EXIT_UNAVAILABLE."""
+    with _open_shell() as shell:
         shell.server.platform.inject(lose_answers=4)
         assert shell.run("publish", shell.write(SAMPLE)) == EXIT_OK
         assert "Published version 1" in shell.output
@@ -169,13 +169,13 @@
 
 
 def test_the_committed_schema_is_the_models() -> None:
-    """Editors get what the check accepts: run `check --schema` after a change."""
+    """The committed schema is current; update it with `check --schema`."""
     committed = json.loads((ROOT / "docs" / "config.schema.json").read_text())
     assert committed == check.schema()
 
 
 def test_every_sub_command_has_help_with_exit_codes_or_examples() -> None:
-    """Each one tells by example how it is used."""
+    """The help of each sub-command contains examples or lists its actions."""
     for name in COMMANDS:
         printed = io.StringIO()
         with contextlib.redirect_stdout(printed), contextlib.suppress(SystemExit):
@@ -185,7 +185,7 @@
 
 
 def test_the_platform_command_serves_until_sigterm() -> None:
-    """It prints its address first and ends with exit code 0."""
+    """The command prints its address, serves, and exits with code 0 on SIGTERM."""
     command = [sys.executable, "-m", "damaskbay", "platform"]
     process = subprocess.Popen(
         command, stdout=subprocess.PIPE, cwd=ROOT, env=os.environ, text=True
--- a/tests/cli/test_progress.py
+++ b/tests/cli/test_progress.py
@@ -8,14 +8,14 @@
 
 
 class _Terminal(io.StringIO):
-    """A stream that a person watches."""
+    """A stream that reports itself as a terminal."""
 
     def isatty(self) -> bool:
         return True
 
 
 def test_a_person_sees_the_count_and_a_program_nothing() -> None:
-    """Counts go to a terminal only, on one line that ends with the work."""
+    """Counts are written to terminals only, on one line ended on exit."""
     terminal, pipe = _Terminal(), io.StringIO()
     for stream in (terminal, pipe):
         with Progress("publish", stream) as progress:
--- a/tests/cli/test_trace.py
+++ b/tests/cli/test_trace.py
@@ -1,4 +1,4 @@
-"""`damaskbay trace` on lines of several daemons."""
+"""Tests of cli.trace."""
 
 import contextlib
 import io
@@ -29,7 +29,7 @@
 
 
 def test_a_story_goes_down_to_nested_calls() -> None:
-    """In order of time, indented by depth, and of no other request."""
+    """Lines of the request and its nested calls only, by time, indented by depth."""
     code, lines = _trace("a1")
     assert code == 0
     assert lines == [
@@ -39,7 +39,7 @@
 
 
 def test_an_unknown_id_is_told() -> None:
-    """The exit code says that no line was found."""
+    """An id without log lines gives exit code 1 and a message."""
     assert _trace("zz") == (1, ["no line names zz"])
 
 
--- a/tests/config/common.py
+++ b/tests/config/common.py
@@ -1,4 +1,4 @@
-"""A small whole set and ways to change it."""
+"""Sample configuration sets for tests, small and large."""
 
 import copy
 import hashlib
@@ -11,7 +11,7 @@
 
 
 def digest(secret: str) -> str:
-    """Return the digest of a key's secret, as the set holds it."""
+    """Return the SHA-256 of a key's secret in hex, as stored in the set."""
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
@@ -66,10 +66,10 @@
 
 def sample(**changes: Any) -> Plain:
     """
-    Return the small set with some fields put in place.
+    Return a copy of SAMPLE with the given changes.
 
-    A keyword names kind, object and field: `routes__file__deadline_s=1`; with
-    kind and object only, the whole object.
+    A keyword names kind, object and field, as in `routes__file__deadline_s=1`, or
+    kind and object to replace the complete object.
     """
     plain = copy.deepcopy(SAMPLE)
     for place, value in changes.items():
@@ -82,14 +82,14 @@
 
 
 def document(**changes: Any) -> Document:
-    """Return the small set, changed as in `sample`, read and checked."""
+    """Return the checked document of `sample(**changes)`."""
     result = read_checked(sample(**changes))
     assert isinstance(result, Document), result
     return result
 
 
 def large_plain(pools: int, routes: int, keys: int, workspaces: int = 50) -> Plain:
-    """Return a set of many objects, each route calling the next in chains of five."""
+    """Return a set of many objects; routes form call chains of length five."""
     plain: Plain = {
         "workspaces": {
             f"w{number}": {"rate_per_s": 100, "burst": 50}
--- a/tests/config/test_check.py
+++ b/tests/config/test_check.py
@@ -14,21 +14,21 @@
 from tests.common import function_suite
 from tests.config.common import SAMPLE, digest, document, large_plain, sample
 
-Place = tuple[str, str, str]
+Location = tuple[str, str, str]
 
 
 def _route(**changes: Any) -> dict[str, Any]:
     return {**SAMPLE["routes"]["record"], **changes}
 
 
-def _places(plain: dict[str, Any]) -> list[Place]:
+def _locations(plain: dict[str, Any]) -> list[Location]:
     result = read_checked(plain)
     assert isinstance(result, tuple), "no fault found"
     assert all(problem.what and problem.mend for problem in result)
     return [(item.object_kind, item.name, item.field) for item in result]
 
 
-FAULTS: tuple[tuple[dict[str, Any], Place], ...] = (
+FAULTS: tuple[tuple[dict[str, Any], Location], ...] = (
     ({"workspaces__north__rate_per_s": 0}, ("workspaces", "north", "rate_per_s")),
     ({"workspaces__north__rate_per_s": "9"}, ("workspaces", "north", "rate_per_s")),
     ({"workspaces__north__brust": 5}, ("workspaces", "north", "brust")),
@@ -61,13 +61,13 @@
 
 
 def test_each_fault_is_found_alone() -> None:
-    """A set with one fault gives one problem, at its place."""
-    for changes, place in FAULTS:
-        assert _places(sample(**changes)) == [place], changes
+    """A set with one fault gives exactly one problem, for the right field."""
+    for changes, location in FAULTS:
+        assert _locations(sample(**changes)) == [location], changes
 
 
 def test_a_set_without_faults_has_none() -> None:
-    """The small set passes whole and in both steps."""
+    """SAMPLE is valid, both in one step and as parse and check."""
     parsed = parse_document(json.dumps(SAMPLE).encode())
     assert isinstance(parsed, Document)
     assert check(parsed) == ()
@@ -75,7 +75,7 @@
 
 
 def test_fifty_faults_are_found_at_once() -> None:
-    """Faults of shape and of sense in one set are all reported, each once."""
+    """Invalid objects and inconsistencies are all reported, each once."""
     plain = sample()
     for number in range(25):
         plain["keys"][f"k{number}"] = {"digest": digest(f"k{number}"), "workspace": "x"}
@@ -83,21 +83,21 @@
         plain["routes"][f"r{number}"] = _route(path_prefix=f"/r{number}", pool="x")
     for number in range(10):
         plain["pools"][f"p{number}"] = {"slots_per_server": 0}
-    places = _places(plain)
-    shapes = [place for place in places if place[0] == "pools"]
-    assert len({place[:2] for place in places}) == 50
-    assert len(places) == 25 + 15 + 20 and len(shapes) == 20
+    locations = _locations(plain)
+    pool_problems = [location for location in locations if location[0] == "pools"]
+    assert len({location[:2] for location in locations}) == 50
+    assert len(locations) == 25 + 15 + 20 and len(pool_problems) == 20
 
 
 def test_a_broken_object_still_counts_as_named() -> None:
-    """What refers to it is not reported too."""
-    assert _places(sample(pools__desk__slots_per_server=0)) == [
+    """References to an invalid object are not reported as further problems."""
+    assert _locations(sample(pools__desk__slots_per_server=0)) == [
         ("pools", "desk", "slots_per_server")
     ]
 
 
 def test_duplicate_names_in_json() -> None:
-    """JSON that names an object twice is refused, not merged."""
+    """JSON with a duplicate object name is rejected, not merged."""
     text = json.dumps(SAMPLE).replace('"south": {', '"north": {', 1)
     result = parse_document(text.encode())
     assert isinstance(result, tuple)
@@ -105,7 +105,7 @@
 
 
 def test_a_circle_and_a_chain_that_is_too_deep() -> None:
-    """A circle names its routes; a chain of ten is one too many, nine is not."""
+    """A cycle is reported with its routes; a chain of 10 is too long, 9 is not."""
     names = [f"c{number}" for number in range(10)]
     for count, faults in ((9, 0), (10, 1)):
         plain = sample()
@@ -126,7 +126,7 @@
 
 
 def test_a_set_over_the_limits() -> None:
-    """Too many bytes or objects are one fault of the document."""
+    """Too many bytes or objects give one problem of the document."""
     for limit in ("check.MAX_DOCUMENT_BYTES", "parsing.MAX_OBJECTS"):
         with mock.patch(f"damaskbay.config.{limit}", 5):
             result = read_checked(sample())
@@ -139,20 +139,20 @@
 
 
 def test_the_order_of_objects_does_not_change_the_digest() -> None:
-    """Two documents with the same objects are the same set."""
+    """Documents with the same objects in another order have the same digest."""
     plain = sample()
-    turned = {kind: plain[kind] for kind in reversed(plain)}
-    turned["keys"] = dict(reversed(list(plain["keys"].items())))
-    result = read_checked(turned)
+    reversed_kinds = {kind: plain[kind] for kind in reversed(plain)}
+    reversed_kinds["keys"] = dict(reversed(list(plain["keys"].items())))
+    result = read_checked(reversed_kinds)
     assert isinstance(result, Document) and result.digest == document().digest
 
 
 def test_chains_of_a_large_set() -> None:
-    """Random calls among many routes are checked without recursion."""
+    """Random calls among 2000 routes do not exceed the recursion limit."""
     plain = large_plain(pools=10, routes=2000, keys=0)
-    drawn = random.Random(7)
+    rng = random.Random(7)
     for route in plain["routes"].values():
-        route["calls"] = [f"r{drawn.randrange(2000)}"]
+        route["calls"] = [f"r{rng.randrange(2000)}"]
     result = read_checked(plain)
     assert isinstance(result, tuple) and result
 
@@ -172,7 +172,7 @@
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.binary(max_size=80))
 def test_any_bytes_give_a_value(data: bytes) -> None:
-    """No bytes raise an exception."""
+    """Arbitrary bytes give a document or problems, never an exception."""
     assert isinstance(read_checked(data), Document | tuple)
 
 
@@ -182,7 +182,7 @@
     st.data(),
 )
 def test_any_value_in_any_place_gives_a_value(kind: str, data: st.DataObject) -> None:
-    """A set with one value replaced is accepted or its problems are listed."""
+    """A set with one random value is accepted or its problems are returned."""
     plain = sample()
     name = data.draw(st.sampled_from(sorted(plain[kind])))
     field = data.draw(st.sampled_from([*sorted(plain[kind][name]), "", "other"]))
--- a/tests/config/test_delta.py
+++ b/tests/config/test_delta.py
@@ -28,7 +28,12 @@
 
 
 def test_defaults_are_the_same_in_models_and_objects() -> None:
-    """What a document leaves out is what the canonical form leaves out."""
+    """
+    Models and data classes have the same defaults.
+
+    The canonical form omits defaults of the data classes, documents those of the
+    models; a difference would change values on a round trip.
+    """
     for kind, model in MODELS_BY_KIND.items():
         for item in dataclasses.fields(CLASSES_BY_KIND[kind]):
             if item.name != "name" and item.default is not dataclasses.MISSING:
@@ -36,7 +41,7 @@
 
 
 def test_a_delta_leads_to_the_same_set() -> None:
-    """Any one change, there and back, also from the empty set."""
+    """Deltas of single changes apply in both directions, also to the empty set."""
     one = document()
     for other in (
         document(keys__new={"digest": digest("new"), "workspace": "south"}),
@@ -51,7 +56,7 @@
 
 
 def test_the_change_of_one_key_is_small_and_keeps_the_rest() -> None:
-    """In a set of about 1 MB; collections without a change stay the same objects."""
+    """In a set of 1 MB the delta is small and unchanged collections are shared."""
     plain = large_plain(pools=100, routes=1000, keys=8000)
     old = parse_document(json.dumps(plain).encode())
     plain["keys"]["k7"]["workspace"] = "w9"
@@ -74,22 +79,22 @@
 
 
 def test_what_is_not_applied() -> None:
-    """Another base, another digest, an invalid object and a set with a fault."""
+    """A delta with another base or digest or an invalid object is rejected."""
     old, new = document(), document(routes__file__deadline_s=7)
     assert _problem(new, old, base_digest=old.digest) is DeltaProblem.OTHER_BASE
     assert _problem(old, new, digest=old.digest) is DeltaProblem.DIGEST_MISMATCH
     change = make_delta(old, new).changes[0]
-    for bad in (
+    for invalid in (
         dataclasses.replace(change, kind="rooms"),
         dataclasses.replace(change, body="{"),
         dataclasses.replace(change, body="null"),
         dataclasses.replace(change, name="No Name"),
     ):
-        assert _problem(old, new, changes=(bad,)) is DeltaProblem.INVALID
+        assert _problem(old, new, changes=(invalid,)) is DeltaProblem.INVALID
 
 
 def test_a_dangling_reference_is_not_applied() -> None:
-    """A set that was never checked by its publisher is found out."""
+    """A delta to an inconsistent set is rejected, though its digest matches."""
     old = document()
     for changes in (
         {"keys__south-1__workspace": "gone"},
@@ -102,8 +107,8 @@
 
 
 def test_checking_the_change_finds_what_checking_the_whole_finds() -> None:
-    """Random edits of a set with chains of calls, many of them faulty."""
-    drawn = random.Random(3)
+    """Incremental and complete checks agree on random edits, many of them invalid."""
+    rng = random.Random(3)
     plain = large_plain(pools=4, routes=20, keys=5, workspaces=3)
     plain["limits"] = {
         "tight": {"rate_per_s": 1, "burst": 1},
@@ -118,8 +123,8 @@
     faulty = 0
     for _ in range(1500):
         edited = copy.deepcopy(plain)
-        for _ in range(drawn.randint(1, 3)):
-            _edit(edited, drawn)
+        for _ in range(rng.randint(1, 3)):
+            _edit(edited, rng)
         new = parse_document(edited)
         assert isinstance(new, Document)
         problems = check(new)
@@ -128,59 +133,59 @@
     assert 300 < faulty < 1200
 
 
-def _edit(plain: dict[str, Any], drawn: random.Random) -> None:
-    """Change, add or remove an object at random."""
-    kind = drawn.choice(["routes", "routes", "routes", *plain.keys()])
+def _edit(plain: dict[str, Any], rng: random.Random) -> None:
+    """Change, add or remove a random object."""
+    kind = rng.choice(["routes", "routes", "routes", *plain.keys()])
     objects = plain[kind]
     if not objects:
         return
-    name = drawn.choice(sorted(objects))
+    name = rng.choice(sorted(objects))
     item = objects[name]
-    if drawn.random() < 0.1:
+    if rng.random() < 0.1:
         del objects[name]
     elif kind == "routes":
-        _edit_route(plain, name, drawn)
+        _edit_route(plain, name, rng)
     elif kind == "keys":
-        secret = drawn.choice(["0", "1", "9", "8"])
-        workspace = drawn.choice(["w0", "w1", "gone"])
-        objects[drawn.choice([name, "new"])] = {
+        secret = rng.choice(["0", "1", "9", "8"])
+        workspace = rng.choice(["w0", "w1", "gone"])
+        objects[rng.choice([name, "new"])] = {
             "digest": digest(secret),
             "workspace": workspace,
         }
     elif kind == "priorities":
-        objects[drawn.choice([name, "new"])] = {"rank": drawn.choice([0, 4, 5])}
+        objects[rng.choice([name, "new"])] = {"rank": rng.choice([0, 4, 5])}
     elif kind == "pools":
-        item["connections_per_server"] = drawn.choice([4, 8, 12])
+        item["connections_per_server"] = rng.choice([4, 8, 12])
     else:
-        item["burst"] = drawn.randint(1, 9)
+        item["burst"] = rng.randint(1, 9)
 
 
-def _edit_route(plain: dict[str, Any], name: str, drawn: random.Random) -> None:
+def _edit_route(plain: dict[str, Any], name: str, rng: random.Random) -> None:
     routes = plain["routes"]
     route = dict(routes[name])
-    other = drawn.choice([*sorted(routes), "gone"])
-    field, value = drawn.choice(
+    other = rng.choice([*sorted(routes), "gone"])
+    field, value = rng.choice(
         [
             ("calls", [other]),
             ("calls", [*route["calls"], other][-1:]),
             ("calls", []),
-            ("deadline_s", drawn.choice([1, 3, 9])),
+            ("deadline_s", rng.choice([1, 3, 9])),
             ("path_prefix", routes.get(other, route)["path_prefix"]),
             ("methods", ["GET"]),
             ("host", "a.example"),
             ("idempotent", False),
             ("retries", 1),
             ("access", "open"),
-            ("pool", drawn.choice(["p1", "gone"])),
-            ("limits", drawn.choice([[], ["tight"], ["loose", "tight"]])),
+            ("pool", rng.choice(["p1", "gone"])),
+            ("limits", rng.choice([[], ["tight"], ["loose", "tight"]])),
         ]
     )
     route[field] = value
-    routes[drawn.choice([name, name, "new"])] = route
+    routes[rng.choice([name, name, "new"])] = route
 
 
 def test_a_document_comes_back_as_it_went() -> None:
-    """The canonical bytes read as the same set."""
+    """Canonical bytes parse to the same document; defaults are omitted."""
     one = document()
     again = read_checked(canonical_bytes(one))
     assert again == one
--- a/tests/config/test_matching.py
+++ b/tests/config/test_matching.py
@@ -25,7 +25,7 @@
 
 
 def test_longest_prefix_whose_methods_fit() -> None:
-    """Prefixes are of whole segments; a shorter one takes what is left."""
+    """Prefixes match complete segments; other requests match a shorter prefix."""
     table = _table(routes__deep=_route(path_prefix="/file/old/", methods=["GET"]))
     expected = {
         ("POST", "/file"): "file",
@@ -41,7 +41,7 @@
 
 
 def test_an_exact_host_goes_first() -> None:
-    """Case, port and closing dot of the host do not matter."""
+    """An exact host wins; case, port and trailing dot of the host are ignored."""
     table = _table(routes__own=_route(host="a.example", path_prefix="/file"))
     assert _name(table, "A.example.:8080", "POST", "/file/1") == "own"
     assert _name(table, "b.example", "POST", "/file/1") == "file"
@@ -49,7 +49,7 @@
 
 
 def test_an_ambiguous_path_has_no_route() -> None:
-    """Nobody reaches a keyed route's path by way of the open one."""
+    """Ambiguous paths cannot reach a keyed route through an open one."""
     table = _table()
     for path in (
         "/x/../record", "/./record", "//record", "/%2e%2e/record", "/x%2Frecord",
@@ -62,12 +62,12 @@
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.text(max_size=30), st.text(max_size=10), st.text(max_size=40))
 def test_any_request_gives_a_route_or_none(host: str, method: str, path: str) -> None:
-    """No request raises an exception."""
+    """Arbitrary requests never raise an exception."""
     _table().match(host, method, path)
 
 
 def test_the_table_stays_while_no_route_changes() -> None:
-    """A set with the same collection of routes keeps its table."""
+    """The table is reused for a set with the same collection of routes."""
     one = document()
     table = RouteTable(build(one, 1))
     assert table.refreshed(build(one, 2)) is table
--- a/tests/config/test_publishing.py
+++ b/tests/config/test_publishing.py
@@ -73,7 +73,7 @@
 
 
 def test_publish_and_read_back() -> None:
-    """Small and large sets come back whole; nothing new makes no version."""
+    """Small and large sets round-trip; an unchanged set creates no version."""
     for one, two in (
         (_version(0), _version(1)),
         (_large(), _large(extra={"digest": digest("x"), "workspace": "w1"})),
@@ -88,7 +88,7 @@
 
 
 def test_a_small_change_of_a_large_set_is_read_from_the_head_alone() -> None:
-    """A relay that holds the version before reads no further value."""
+    """A relay with the previous version applies the head's delta, no other read."""
     platform = MemoryPlatform()
     one = _large()
     _publish(platform, one, 0)
@@ -103,13 +103,13 @@
 
 
 def test_two_publishers_race_200_times() -> None:
-    """Exactly one wins each version; the other is told what changed meanwhile."""
+    """One publisher wins each version; the other gets a conflict with the changes."""
     platform = MemoryPlatform()
     _publish(platform, _version(0), 0)
     start = threading.Barrier(2)
 
-    def race(who: int, number: int) -> PublishResult:
-        item = document(workspaces__north__burst=100 + 2 * number + who)
+    def race(publisher_index: int, number: int) -> PublishResult:
+        item = document(workspaces__north__burst=100 + 2 * number + publisher_index)
         start.wait(TIMEOUT_S)
         return _publish(platform, item, number)
 
@@ -118,15 +118,17 @@
             results = list(pool.map(race, (0, 1), (number, number)))
             kinds = Counter(type(result) for result in results)
             assert kinds == {Published: 1, PublishConflict: 1}, results
-            lost = next(item for item in results if isinstance(item, PublishConflict))
-            assert lost.changes is not None
-            assert [change.name for change in lost.changes] == ["north"]
+            conflict = next(
+                item for item in results if isinstance(item, PublishConflict)
+            )
+            assert conflict.changes is not None
+            assert [change.name for change in conflict.changes] == ["north"]
             assert _load(platform).digest == _head(platform).record.digest
     assert _head(platform).record.version == 201
 
 
 def test_a_lost_answer_is_settled() -> None:
-    """Whether the write took effect or not: published once, and told so."""
+    """After lost replies or lost writes the set is published exactly once."""
     for fault in ("lose_answers", "drop_writes"):
         for count in range(1, 8):
             platform = MemoryPlatform()
@@ -139,7 +141,7 @@
 
 
 class _HeadFaults(MemoryPlatform):
-    """Runs a step right after a swap of the head took effect; may lose its answer."""
+    """Runs a step after one swap of the head; optionally loses the reply."""
 
     after_swap: Any = None
     lose_answer = True
@@ -155,7 +157,7 @@
 
 
 def test_a_lost_answer_under_a_newer_version() -> None:
-    """It holds, and is reported so, though another publisher went on from it."""
+    """A publication with a lost reply is reported even if a newer one followed."""
     platform = _HeadFaults()
     _publish(platform, _version(0), 0)
     platform.after_swap = lambda: _publish(platform, _version(2), 2)
@@ -165,7 +167,7 @@
 
 
 def test_an_answer_that_stays_lost_is_unknown_and_settled_later() -> None:
-    """The outage begins after the swap: neither done nor failed is claimed."""
+    """An outage right after the swap gives PublishUnknown, resolved by a retry."""
     platform = _HeadFaults()
     _publish(platform, _version(0), 0)
     platform.after_swap = lambda: platform.inject(outage=True)
@@ -178,7 +180,7 @@
 
 
 def test_an_outage_publishes_nothing() -> None:
-    """A long outage is a failure without effect; afterwards publishing works."""
+    """A publication during an outage fails without effect; the next succeeds."""
     platform = MemoryPlatform()
     _publish(platform, _version(0), 0)
     with platform.fault(outage=True):
@@ -190,19 +192,19 @@
 
 
 def test_an_old_base_is_a_conflict() -> None:
-    """Also far behind, where what changed is no longer known."""
+    """An old base gives a conflict; without changes if the base is not kept."""
     platform = MemoryPlatform()
     for number in range(HISTORY_VERSIONS + 5):
         assert isinstance(_publish(platform, _version(number), number), Published)
     recent = _publish(platform, _version(99), HISTORY_VERSIONS)
     assert isinstance(recent, PublishConflict) and recent.changes
-    ancient = _publish(platform, _version(99), 1)
-    assert isinstance(ancient, PublishConflict) and ancient.changes is None
+    expired = _publish(platform, _version(99), 1)
+    assert isinstance(expired, PublishConflict) and expired.changes is None
     assert isinstance(_publish(platform, _version(99), 1, "p"), PublishUnknown)
 
 
 def test_what_no_kept_version_needs_is_removed() -> None:
-    """Values and history stay bounded, and those of lost races go too."""
+    """Values and history stay bounded; leftovers of lost races are removed."""
     platform = MemoryPlatform()
     for number in range(HISTORY_VERSIONS + 20):
         assert isinstance(_publish(platform, _version(number), number), Published)
@@ -219,16 +221,16 @@
 
 
 def test_removal_among_racing_publishers_never_takes_a_needed_value() -> None:
-    """Few contents come back again and again while three publishers race."""
+    """Three publishers race with few contents, so old values are reused often."""
     platform = MemoryPlatform()
     contents = [_version(number) for number in range(4)]
 
     def work(seed: int) -> None:
-        drawn = random.Random(seed)
+        rng = random.Random(seed)
         for _ in range(60):
             head = ConfigStore(platform).read_head()
             version = head.record.version if isinstance(head, Head) else 0
-            _publish(platform, drawn.choice(contents), version)
+            _publish(platform, rng.choice(contents), version)
             _load(platform)
 
     _publish(platform, contents[0], 0)
@@ -239,7 +241,7 @@
 
 
 def test_an_old_value_is_not_removed_once_it_is_needed_again() -> None:
-    """Another publisher takes up an old set between a swap and its removal."""
+    """Another publisher reuses an old set between the swap and the removal."""
     platform = _HeadFaults()
     for number in range(HISTORY_VERSIONS + 2):
         _publish(platform, _version(number), number)
@@ -252,7 +254,7 @@
 
 
 def test_a_head_whose_values_are_another_set_gives_none() -> None:
-    """The digest of the whole set counts, not of its values alone."""
+    """A record whose set digest does not match its values is rejected."""
     platform = MemoryPlatform()
     _publish(platform, _version(0), 0)
     record = _head(platform).record
@@ -275,7 +277,7 @@
 
 
 def test_a_missing_or_changed_value_gives_no_set() -> None:
-    """Never half a set; the relay's source tells the same."""
+    """A missing or changed value gives a failure, also in the relay's source."""
     for item in (_version(0), _large()):
         for value, problem in (
             (None, LoadProblem.MISSING_PART),
@@ -289,12 +291,12 @@
             _damage(platform, f"{PARTS_PREFIX}{record.packs[-1]}", value)
             result = ConfigStore(platform).load(record)
             assert isinstance(result, LoadFailure) and result.problem is problem
-            told = source.load(seen, None, timeout_s=TIMEOUT_S)  # type: ignore[arg-type]
-            assert problem.value in told.detail  # type: ignore[union-attr]
+            failure = source.load(seen, None, timeout_s=TIMEOUT_S)  # type: ignore[arg-type]
+            assert problem.value in failure.detail  # type: ignore[union-attr]
 
 
 def test_a_half_written_head_is_told_with_its_revision() -> None:
-    """A relay goes on from there and does not ask for it again."""
+    """The failure holds the revision, so a relay does not read the head again."""
     platform = MemoryPlatform()
     _publish(platform, _version(0), 0)
     whole = _head(platform).record.to_bytes()
@@ -311,7 +313,7 @@
 
 
 def test_a_damaged_head_is_replaced_by_a_higher_version() -> None:
-    """Only a damaged one, and beyond the version that it must have had."""
+    """Only a damaged head is replaced, by a version above the lost one."""
     platform = MemoryPlatform()
     for number in range(3):
         _publish(platform, _version(number), number)
@@ -327,7 +329,7 @@
 
 
 def test_a_platform_that_lost_its_data_gets_a_version_beyond_the_fleets() -> None:
-    """Daemons take only higher versions; a head that stands is never passed over."""
+    """Daemons accept only higher versions; an existing head is never skipped."""
     platform = MemoryPlatform()
     publisher = Publisher(platform, sleep=lambda _: None)
     publication = Publication(_version(1), "ann", 41, new_publish_id(), onto_empty=True)
@@ -341,11 +343,11 @@
 
 
 def test_a_set_with_a_fault_is_not_published() -> None:
-    """The store checks again what it is given."""
+    """The publisher checks sets again and writes nothing for an invalid one."""
     platform = MemoryPlatform()
-    faulty = parse_document(sample(routes__file__pool="gone"))
-    assert isinstance(faulty, Document)
-    result = _publish(platform, faulty, 0)
+    inconsistent = parse_document(sample(routes__file__pool="gone"))
+    assert isinstance(inconsistent, Document)
+    result = _publish(platform, inconsistent, 0)
     assert isinstance(result, PublishFailure) and len(result.problems) == 1
     assert platform.counters.writes == 0
 
--- a/tests/stand_ins/test_memory_platform.py
+++ b/tests/stand_ins/test_memory_platform.py
@@ -1,4 +1,4 @@
-"""Tests of stand_ins.memory_platform, the faults above all."""
+"""Tests of stand_ins.memory_platform, mainly of its faults."""
 
 import unittest
 from concurrent.futures import ThreadPoolExecutor
@@ -22,7 +22,7 @@
 
 
 def test_an_outage_ends_calls_and_waiting_watches() -> None:
-    """Nothing takes effect in an outage; the store is the same afterwards."""
+    """An outage ends open watches and fails writes without effect."""
     platform = MemoryPlatform()
     with ThreadPoolExecutor(1) as pool:
         waiting = pool.submit(
@@ -35,7 +35,7 @@
 
 
 def test_a_lost_answer_took_effect_and_a_dropped_write_did_not() -> None:
-    """Both look the same to the client."""
+    """Lost replies and lost writes give the same failure to the client."""
     platform = MemoryPlatform()
     platform.inject(lose_answers=1)
     assert _problem(_put(platform, "a", b"1")) is PlatformProblem.ANSWER_LOST
@@ -47,7 +47,7 @@
 
 
 def test_a_cut_client_alone_is_refused() -> None:
-    """Other clients of the same store go on."""
+    """Other clients of the same store are not affected."""
     platform = MemoryPlatform()
     east, west = platform.client("east"), platform.client("west")
     platform.inject(cut_clients=frozenset({"east"}))
@@ -57,7 +57,7 @@
 
 
 def test_calls_above_the_rate_are_busy() -> None:
-    """The limit holds for one second of the clock."""
+    """Requests above the limit within one second fail as busy."""
     seconds = [0.0]
     platform = MemoryPlatform(clock=lambda: seconds[0])
     platform.inject(max_reads_per_s=2)
@@ -69,7 +69,7 @@
 
 
 def test_a_write_slower_than_its_timeout_is_an_answer_lost() -> None:
-    """A slow read had no effect to speak of; a slow write had one."""
+    """A slow read is reported as unavailable; a slow write took effect."""
     platform = MemoryPlatform()
     platform.inject(delay_s=0.02)
     written = platform.compare_and_swap("a", b"1", expected_revision=0, timeout_s=0.01)
