--- a/damaskbay/cli/check.py
+++ b/damaskbay/cli/check.py
@@ -33,7 +33,7 @@
         print_json(schema())
         return EXIT_OK
     if options.file is None:
-        raise CommandError("name a file, or use --schema", EXIT_USAGE)
+        raise CommandError("give a file or --schema", EXIT_USAGE)
     document = read_file(options.file, as_json=options.json).document
     counts = {kind.value: len(document.objects(kind)) for kind in Kind}
     if options.json:
--- a/damaskbay/cli/keys.py
+++ b/damaskbay/cli/keys.py
@@ -87,7 +87,7 @@
     record = read_record(store, None)
     base = read_set(store, record)
     if settings and options.name in base.keys_by_name:
-        message = f"there is a key {options.name!r}: choose another name"
+        message = f"the key {options.name!r} exists: choose another name"
         raise CommandError(message, EXIT_INVALID)
     place = f"{Kind.KEYS.value}/{options.name}"
     result = apply_overrides(base, [Override(place, settings)])
--- a/damaskbay/cli/publish.py
+++ b/damaskbay/cli/publish.py
@@ -78,7 +78,7 @@
     """Publish the file or the overrides."""
     overrides = _overrides(options)
     if (options.file is None) == (not overrides):
-        raise CommandError("name a file, or --override and --remove", EXIT_USAGE)
+        raise CommandError("give either a file or --override and --remove", EXIT_USAGE)
     if overrides and (options.replace_damaged_head or options.onto_empty):
         raise CommandError("this option needs a complete set from a file", EXIT_USAGE)
     with open_platform(options) as platform:
@@ -134,7 +134,7 @@
         options.author,
         expected_version,
         options.publish_id or new_publish_id(),
-        again=options.publish_id is not None,
+        is_retry=options.publish_id is not None,
         base=base,
         onto_empty=options.onto_empty,
     )
--- a/damaskbay/config/check.py
+++ b/damaskbay/config/check.py
@@ -73,7 +73,7 @@
                 key.name,
                 "workspace",
                 f"there is no workspace {key.workspace!r}",
-                "Name one that stands in the set, or add it.",
+                "Use an existing name, or add the workspace.",
             )
 
 
@@ -88,7 +88,7 @@
                 key.name,
                 "digest",
                 f"the key {first!r} has the same digest",
-                "Make a new key, or remove one of the two.",
+                "Create a new key, or remove one of the two.",
             )
 
 
--- a/damaskbay/config/check_changed.py
+++ b/damaskbay/config/check_changed.py
@@ -20,7 +20,7 @@
 from damaskbay.config.matching import normalize_prefix
 from damaskbay.config.objects import Key, Kind, Pool, Route
 
-_REMOVABLE = frozenset({Kind.KEYS, Kind.ROUTES})
+_LOCALLY_REMOVABLE = frozenset({Kind.KEYS, Kind.ROUTES})
 
 
 def check_changed(
@@ -47,7 +47,7 @@
     for change in changes:
         if change.kind is Kind.LIMITS:
             return False
-        if change.item is None and change.kind not in _REMOVABLE:
+        if change.item is None and change.kind not in _LOCALLY_REMOVABLE:
             return False
         if change.kind is Kind.ROUTES and _uses_limits(before, change):
             return False
--- a/damaskbay/config/check_routes.py
+++ b/damaskbay/config/check_routes.py
@@ -57,7 +57,7 @@
                     route,
                     field,
                     f"there is no {name!r} among the {kind.value}",
-                    "Name one that stands in the set, or add it.",
+                    "Use an existing name, or add the object.",
                 )
 
 
@@ -79,7 +79,7 @@
                 route,
                 "calls",
                 f"the open route calls the keyed route {name!r}, "
-                "for which its calls have no workspace",
+                "but its calls have no workspace",
                 f"Make this route keyed, or {name!r} open.",
             )
 
@@ -87,12 +87,12 @@
 def _unreachable_problems(route: Route) -> Iterator[Problem]:
     if route.host != ANY_HOST and route.host != normalize_host(route.host):
         mend = f"Write {normalize_host(route.host)!r} instead."
-        yield _problem(route, "host", "no request has this host", mend)
+        yield _problem(route, "host", "no request matches this host", mend)
     if ";" in route.path_prefix and split_path(route.path_prefix) is None:
         yield _problem(
             route,
             "path_prefix",
-            "a request with this path has no route, since servers read it differently",
+            "requests with this path have no route, as servers resolve it differently",
             "Use a path without '.', '..' and empty segments.",
         )
 
@@ -164,7 +164,7 @@
                 route,
                 "retries",
                 "the route is not idempotent and calls no idempotent route, "
-                "so that nothing may be sent again",
+                "so no call may be retried",
                 "Set retries to 0, or mark the route as idempotent if it is.",
             )
 
@@ -206,7 +206,7 @@
                 yield _problem(
                     route,
                     "limits",
-                    f"{loose.name!r} never holds anything back, "
+                    f"{loose.name!r} has no effect, "
                     f"since {tight.name!r} is as tight or tighter",
-                    f"Remove {loose.name!r}, or give the two other figures.",
+                    f"Remove {loose.name!r}, or change the rates and bursts.",
                 )
--- a/damaskbay/config/head.py
+++ b/damaskbay/config/head.py
@@ -66,7 +66,7 @@
     try:
         record = HeadRecord.model_validate_json(entry.value)
     except ValidationError as error:
-        detail = f"{error.error_count()} validation errors"
+        detail = f"validation errors: {error.error_count()}"
         return _damaged(entry, detail)
     if len(record.packs) not in {1, PART_COUNT}:
         detail = f"refers to {len(record.packs)} values"
--- a/damaskbay/config/matching.py
+++ b/damaskbay/config/matching.py
@@ -37,7 +37,7 @@
             host: _host_table(routes) for host, routes in by_host.items()
         }
 
-    def refreshed(self, config: ConfigSet) -> "RouteTable":
+    def for_config(self, config: ConfigSet) -> "RouteTable":
         """Return a table for a set; it is this table if no route changed."""
         if config.routes_by_name is self._routes_by_name:
             return self
--- a/damaskbay/config/models.py
+++ b/damaskbay/config/models.py
@@ -124,7 +124,7 @@
     @classmethod
     def _no_duplicates(cls, value: tuple[str, ...]) -> tuple[str, ...]:
         if len(set(value)) != len(value):
-            raise ValueError("names an object twice")
+            raise ValueError("contains a duplicate name")
         return value
 
 
--- a/damaskbay/config/override.py
+++ b/damaskbay/config/override.py
@@ -18,12 +18,12 @@
     """
     Fields to set on one object, each as FIELD=VALUE; without fields it is removed.
 
-    `place` is KIND/NAME. A value is parsed as JSON if possible, else taken as
+    `object_path` is KIND/NAME. A value is parsed as JSON if possible, else taken as
     text; an empty value resets the field to its default. A missing object is
     created.
     """
 
-    place: str
+    object_path: str
     settings: tuple[str, ...] = ()
 
 
@@ -47,13 +47,15 @@
 
 
 def _to_change(document: Document, override: Override) -> Change | Problems:
-    kind_name, _, name = override.place.partition("/")
+    kind_name, _, name = override.object_path.partition("/")
     try:
         kind = Kind(kind_name)
     except ValueError:
         known_kinds = ", ".join(kind.value for kind in Kind)
         what = f"{kind_name!r} is not a kind of object"
-        return (Problem("", override.place, "", what, f"Use one of {known_kinds}."),)
+        return (
+            Problem("", override.object_path, "", what, f"Use one of {known_kinds}."),
+        )
     existing = document.objects(kind).get(name)
     if not override.settings:
         if existing is None:
--- a/damaskbay/config/publishing.py
+++ b/damaskbay/config/publishing.py
@@ -75,7 +75,7 @@
     """
     A set to publish as the successor of the expected version (0: none).
 
-    `again` means that this publish id may have been sent before. `base` is the
+    `is_retry` means that this publish id may have been sent before. `base` is the
     set of the expected version if the caller has it, which saves reading it.
     `onto_empty` means that the platform has lost its data: if there is no head,
     the expected version is the one that the daemons still hold.
@@ -85,7 +85,7 @@
     author: str
     expected_version: int
     publish_id: str
-    again: bool = False
+    is_retry: bool = False
     base: Document | None = None
     onto_empty: bool = False
 
@@ -195,7 +195,7 @@
         version = 0 if head is None else head.record.version
         if version != publication.expected_version:
             current = None if head is None else head.record
-            if publication.again:
+            if publication.is_retry:
                 return self._outcome_by_publish_id(publication, current)
             return self._conflict(publication, current)
         if head is not None and head.record.digest == publication.document.digest:
--- a/tests/config/test_matching.py
+++ b/tests/config/test_matching.py
@@ -70,9 +70,9 @@
     """The table is reused for a set with the same collection of routes."""
     one = document()
     table = RouteTable(build(one, 1))
-    assert table.refreshed(build(one, 2)) is table
+    assert table.for_config(build(one, 2)) is table
     other = build(document(routes__file__deadline_s=9), 3)
-    assert table.refreshed(other) is not table
+    assert table.for_config(other) is not table
 
 
 def load_tests(*_: object) -> unittest.TestSuite:
--- a/tests/config/test_publishing.py
+++ b/tests/config/test_publishing.py
@@ -43,9 +43,9 @@
     timeout_s: float = TIMEOUT_S,
 ) -> PublishResult:
     publisher = Publisher(platform, timeout_s=timeout_s, sleep=lambda _: None)
-    again = bool(publish_id)
+    is_retry = bool(publish_id)
     name = publish_id or new_publish_id()
-    return publisher.publish(Publication(item, "ann", expected, name, again))
+    return publisher.publish(Publication(item, "ann", expected, name, is_retry))
 
 
 def _head(platform: MemoryPlatform) -> Head:
@@ -174,8 +174,8 @@
     result = _publish(platform, _version(1), 1, "p1", timeout_s=0.3)
     assert isinstance(result, PublishUnknown)
     platform.inject(outage=False)
-    again = _publish(platform, _version(1), 1, result.publish_id)
-    assert isinstance(again, Published) and again.record.version == 2
+    retried = _publish(platform, _version(1), 1, result.publish_id)
+    assert isinstance(retried, Published) and retried.record.version == 2
     assert _head(platform).record.version == 2
 
 
@@ -337,8 +337,8 @@
     result = publisher.publish(publication)
     assert isinstance(result, Published) and result.record.version == 42
     assert _load(platform) == _version(1)
-    again = Publication(_version(2), "ben", 50, new_publish_id(), onto_empty=True)
-    assert isinstance(publisher.publish(again), PublishConflict)
+    second = Publication(_version(2), "ben", 50, new_publish_id(), onto_empty=True)
+    assert isinstance(publisher.publish(second), PublishConflict)
     assert isinstance(_publish(platform, _version(2), 42), Published)
 
 
