--- a/damaskbay/daemon/admission.py
+++ b/damaskbay/daemon/admission.py
@@ -1,4 +1,4 @@
-"""Admission gate: the admission decisions, shared by the threads of a daemon."""
+"""Thread-safe admission control for calls to the local backend server."""
 
 import logging
 import threading
@@ -22,13 +22,13 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-TICK_S = 0.05
+EXPIRY_TICK_S = 0.05
 
 StillAllowed = Callable[[CallContext], Refusal | None]
-"""Looks again, right before a call starts, whether its key and route still hold."""
+"""Check again, right before a call starts, that its key and route are still valid."""
 
 _Callback = Callable[[], "list[_Callback]"]
-"""Calls back and returns what became due by it."""
+"""Runs one callback and returns further callbacks that became due."""
 
 
 @dataclass(slots=True)
@@ -39,39 +39,41 @@
 
 
 class Ticket:
-    """One submitted call. Safe from any thread; what comes twice is ignored."""
+    """Handle of one submitted call. Thread-safe; repeated reports are ignored."""
 
     def __init__(self, gate: "AdmissionGate", number: int) -> None:
         self._gate = gate
         self.number = number
 
     def finish(self, sample: Sample) -> None:
-        """Free the slot of a started call."""
+        """Release the slot of a started call."""
         self._gate.finish(self.number, sample)
 
     def nested_began(self) -> None:
-        """Let another call work while this one waits for nested calls."""
+        """Release the slot while this call waits for its nested calls."""
         self._gate.nested_began(self.number)
 
     def nested_ended(self) -> None:
-        """Count a started call as working again."""
+        """Count this call as running again after its nested calls."""
         self._gate.nested_ended(self.number)
 
     def cancel(self) -> bool:
         """
-        Forget a call that still waits: neither callback comes after True.
+        Cancel a waiting call and return whether it was still waiting.
 
-        False: the call is being started or refused, or was before.
+        After True neither callback is invoked. False means that the call has
+        already been started or refused, or is about to be.
         """
         return self._gate.cancel(self.number)
 
 
 class AdmissionGate:
     """
-    Admits calls to the local backend server, from any thread.
+    Admits calls to the local backend server. Thread-safe.
 
-    Callbacks come outside the lock, on the thread whose call made them due: they
-    must hand work on and not block. A call of `start` promises a `finish`.
+    Callbacks run outside the lock, on the thread whose method call triggers them.
+    They must not block; long work belongs on another thread. Each call whose
+    `start` callback was invoked must be reported with `finish`.
     """
 
     def __init__(
@@ -98,88 +100,98 @@
         start: Callable[[], None],
         refuse: Callable[[Refusal], None],
     ) -> Ticket:
-        """Ask for admission; exactly one of the callbacks comes, unless cancelled."""
+        """Queue a call; exactly one callback is invoked unless it is cancelled."""
         with self._lock:
             self._last_number += 1
             number = self._last_number
             self._submitted_by_number[number] = _Submitted(context, start, refuse)
             item = Waiting(number, context, weight, cost)
-            due = self._due(self._controller.offer(item, self._clock()))
-        self._call_back(due)
+            callbacks = self._callbacks_for(self._controller.offer(item, self._clock()))
+        self._run_callbacks(callbacks)
         return Ticket(self, number)
 
     def finish(self, number: int, sample: Sample) -> None:
-        """Free the slot of a started call and start what waits."""
+        """Release the slot of a started call and start waiting calls."""
         with self._lock:
-            due = self._due(self._controller.finish(number, sample, self._clock()))
-        self._call_back(due)
+            callbacks = self._callbacks_for(
+                self._controller.finish(number, sample, self._clock())
+            )
+        self._run_callbacks(callbacks)
 
     def nested_began(self, number: int) -> None:
-        """Take note that a started call waits for nested calls."""
+        """Record that a started call waits for its nested calls."""
         with self._lock:
-            due = self._due(self._controller.nested_began(number, self._clock()))
-        self._call_back(due)
+            callbacks = self._callbacks_for(
+                self._controller.nested_began(number, self._clock())
+            )
+        self._run_callbacks(callbacks)
 
     def nested_ended(self, number: int) -> None:
-        """Take note that a started call works on by itself."""
+        """Record that a started call no longer waits for nested calls."""
         with self._lock:
-            due = self._due(self._controller.nested_ended(number, self._clock()))
-        self._call_back(due)
+            callbacks = self._callbacks_for(
+                self._controller.nested_ended(number, self._clock())
+            )
+        self._run_callbacks(callbacks)
 
     def cancel(self, number: int) -> bool:
-        """Forget a call that waits; return whether it did."""
+        """Cancel a waiting call and return whether it was still waiting."""
         with self._lock:
             if self._submitted_by_number.pop(number, None) is None:
                 return False
-            due = self._due(self._controller.withdraw(number, self._clock()))
-        self._call_back(due)
+            callbacks = self._callbacks_for(
+                self._controller.withdraw(number, self._clock())
+            )
+        self._run_callbacks(callbacks)
         return True
 
     def expire(self) -> None:
-        """Refuse what has waited too long."""
+        """Refuse calls that have waited too long."""
         with self._lock:
-            due = self._due(self._controller.expire(self._clock()))
-        self._call_back(due)
+            callbacks = self._callbacks_for(self._controller.expire(self._clock()))
+        self._run_callbacks(callbacks)
 
     def set_slots(self, slots: int) -> None:
-        """Change the ceiling of calls at once."""
+        """Set the maximum number of concurrent calls."""
         with self._lock:
-            due = self._due(self._controller.set_slots(slots, self._clock()))
-        self._call_back(due)
+            callbacks = self._callbacks_for(
+                self._controller.set_slots(slots, self._clock())
+            )
+        self._run_callbacks(callbacks)
 
     def level(self) -> int:
-        """Return the admission level to put on an answer."""
+        """Return the admission level to report with a response."""
         with self._lock:
             return self._controller.level(self._clock())
 
     def has_room(self) -> bool:
-        """Tell whether a call would start at once."""
+        """Return whether a call submitted now would start immediately."""
         with self._lock:
             return self._controller.has_room()
 
     def load(self) -> float:
-        """Return running and waiting calls as a share of the present limit."""
+        """Return running plus waiting calls as a fraction of the current limit."""
         with self._lock:
             controller = self._controller
             return (controller.running + controller.waiting) / controller.limit
 
     def running(self) -> int:
-        """Return the number of calls that run."""
+        """Return the number of running calls."""
         with self._lock:
             return self._controller.running
 
-    def _due(self, decisions: tuple[Decision, ...]) -> list[_Callback]:
-        """Turn decisions into callbacks; the lock is held."""
-        due: list[_Callback] = []
+    def _callbacks_for(self, decisions: tuple[Decision, ...]) -> list[_Callback]:
+        """Convert decisions to callbacks; the caller holds the lock."""
+        callbacks: list[_Callback] = []
         for decision in decisions:
             submitted = self._submitted_by_number.pop(decision.ticket, None)
             if submitted is None:
                 continue
             if isinstance(decision, Refuse):
-                due.append(_bind_refuse(submitted.refuse, decision.refusal))
+                callbacks.append(_bind_refuse(submitted.refuse, decision.refusal))
             else:
-                due.append(self._bind_start(decision.ticket, submitted))
-        return due
+                callbacks.append(self._bind_start(decision.ticket, submitted))
+        return callbacks
 
     def _bind_start(self, number: int, submitted: _Submitted) -> _Callback:
         def start() -> list[_Callback]:
@@ -188,15 +200,15 @@
                 submitted.start()
                 return []
             submitted.refuse(refusal)
-            unused = Sample(0.0, cancelled=True)
+            no_sample = Sample(0.0, cancelled=True)  # the call never ran
             with self._lock:
-                decisions = self._controller.finish(number, unused, self._clock())
-                return self._due(decisions)
+                decisions = self._controller.finish(number, no_sample, self._clock())
+                return self._callbacks_for(decisions)
 
         return start
 
-    def _call_back(self, due: list[_Callback]) -> None:
-        pending = deque(due)
+    def _run_callbacks(self, callbacks: list[_Callback]) -> None:
+        pending = deque(callbacks)
         while pending:
             try:
                 pending.extend(pending.popleft()())
@@ -213,15 +225,15 @@
 
 
 class AdmissionTicker(Task):
-    """Lets a gate refuse what waits too long, even while nothing else happens."""
+    """Refuses expired calls of a gate periodically, also when no call arrives."""
 
     def __init__(self, gate: AdmissionGate) -> None:
-        super().__init__("admission", tick_s=TICK_S)
+        super().__init__("admission", tick_s=EXPIRY_TICK_S)
         self._gate = gate
 
     def handle(self, message: object, now: float) -> None:
-        """Take no messages."""
+        """Ignore the message; this task only uses its tick."""
 
     def tick(self, now: float) -> None:
-        """Refuse what is due."""
+        """Refuse calls that have waited too long."""
         self._gate.expire()
--- a/damaskbay/daemon/announcing.py
+++ b/damaskbay/daemon/announcing.py
@@ -1,4 +1,4 @@
-"""Tell the fleet the state of the local backend server."""
+"""Announces the state of the local backend server to the other daemons."""
 
 import logging
 import socket
@@ -11,14 +11,14 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-ANNOUNCE_TICK_S = 0.5
-SILENT_AFTER_S = 5.0
+ANNOUNCE_INTERVAL_S = 0.5
+ANNOUNCEMENT_TIMEOUT_S = 5.0
 PROBE_TIMEOUT_S = 0.3
 
 
 @dataclass(frozen=True, slots=True)
-class Announced:
-    """What the backend server said of itself."""
+class ServerAnnouncement:
+    """State, slots and load that the backend server reported."""
 
     state: ServerState
     slots: int
@@ -27,11 +27,11 @@
 
 class Announcer(Task):
     """
-    Repeats the local backend server's state to the membership.
+    Publishes the local backend server's state to the membership periodically.
 
-    Without announcements (setting `announced` false) the server counts as ready
-    as soon as it accepts a connection. One that is silent for `SILENT_AFTER_S`,
-    or that this daemon is draining for, gets no new work.
+    With the setting `announced` false, the server counts as ready as soon as it
+    accepts a connection. A server that has announced nothing for
+    `ANNOUNCEMENT_TIMEOUT_S`, or whose daemon is draining, gets no new calls.
     """
 
     def __init__(
@@ -42,26 +42,26 @@
         set_slots: Callable[[int], None],
         load: Callable[[], float],
     ) -> None:
-        super().__init__("announcing", tick_s=ANNOUNCE_TICK_S)
+        super().__init__("announcing", tick_s=ANNOUNCE_INTERVAL_S)
         self._settings = settings
         self._membership = membership
         self._set_slots = set_slots
         self._load = load
-        self._announced: Announced | None = None
-        self._heard_at = 0.0
+        self._announcement: ServerAnnouncement | None = None
+        self._announced_at = 0.0
         self._draining = False
         self.state = ServerState.STARTING
 
     def handle(self, message: object, now: float) -> None:
-        """Take an announcement."""
-        if isinstance(message, Announced):
-            self._announced = message
-            self._heard_at = now
+        """Record an announcement of the backend server and publish its state."""
+        if isinstance(message, ServerAnnouncement):
+            self._announcement = message
+            self._announced_at = now
             self._set_slots(min(message.slots, self._settings.slots))
-            self._tell(now)
+            self._publish_state(now)
 
     def drain(self) -> None:
-        """Tell the fleet at once that this server gets no new work."""
+        """Announce immediately that this server takes no new calls."""
         self._draining = True
         self.state = ServerState.DRAINING
         self._membership.announce(
@@ -72,35 +72,38 @@
         )
 
     def tick(self, now: float) -> None:
-        """Repeat the state."""
-        self._tell(now)
+        """Publish the current state again."""
+        self._publish_state(now)
 
-    def _tell(self, now: float) -> None:
-        state = self._current(now)
+    def _publish_state(self, now: float) -> None:
+        state = self._current_state(now)
         if state is not self.state:
             _LOGGER.info("announcing: backend server is %s.", state.value)
         self.state = state
         slots = self._settings.slots
-        if self._announced is not None:
-            slots = min(slots, self._announced.slots)
+        if self._announcement is not None:
+            slots = min(slots, self._announcement.slots)
         self._membership.announce(
             pool=self._settings.pool, state=state, slots=slots, load=self._load()
         )
 
-    def _current(self, now: float) -> ServerState:
+    def _current_state(self, now: float) -> ServerState:
         if self._draining:
             return ServerState.DRAINING
         if self._settings.announced:
-            if self._announced is None:
+            if self._announcement is None:
                 return ServerState.STARTING
-            if now - self._heard_at > SILENT_AFTER_S:
+            if now - self._announced_at > ANNOUNCEMENT_TIMEOUT_S:
                 return ServerState.GONE
-            return self._announced.state
-        if self._announced is not None and now - self._heard_at <= SILENT_AFTER_S:
-            return self._announced.state
-        return ServerState.READY if self._accepts() else ServerState.GONE
-
-    def _accepts(self) -> bool:
+            return self._announcement.state
+        if (
+            self._announcement is not None
+            and now - self._announced_at <= ANNOUNCEMENT_TIMEOUT_S
+        ):
+            return self._announcement.state
+        return ServerState.READY if self._accepts_connections() else ServerState.GONE
+
+    def _accepts_connections(self) -> bool:
         address = (self._settings.host, self._settings.port)
         try:
             with socket.create_connection(address, PROBE_TIMEOUT_S):
--- a/damaskbay/daemon/calls.py
+++ b/damaskbay/daemon/calls.py
@@ -1,4 +1,4 @@
-"""The running calls of this daemon, guarded for use from many threads."""
+"""Thread-safe registry of this daemon's running calls and their nested calls."""
 
 import itertools
 import secrets
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NestedCall:
-    """A nested call under way: give it back to `CallRegistry.finished`."""
+    """A nested call in flight; pass it to `CallRegistry.end_nested` when it ends."""
 
     token: str
     ticket: int
@@ -26,56 +26,56 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClosedRun:
-    """What a call leaves behind; `nested_s` is its time in nested calls, seconds."""
+class ClosedCall:
+    """Unused retry tokens of an ended call and its seconds spent in nested calls."""
 
     retry_tokens_left: int
     nested_s: float
 
 
-class NestedWatcher(Protocol):
-    """Is told when a running call begins and ends to wait for nested calls."""
+class NestedCallListener(Protocol):
+    """Listener for when a running call starts and stops waiting for nested calls."""
 
     def nested_began(self) -> None:
-        """Take note that the call waits for nested calls."""
+        """Record that the call waits for nested calls."""
         ...
 
     def nested_ended(self) -> None:
-        """Take note that the call works on by itself."""
+        """Record that the call no longer waits for nested calls."""
         ...
 
 
 @dataclass(slots=True)
 class _NestedTime:
-    """How long at least one nested call was under way."""
+    """Measures the time during which at least one nested call is in flight."""
 
-    watcher: NestedWatcher
-    running: int = 0
-    since: float = 0.0
+    listener: NestedCallListener
+    in_flight: int = 0
+    started_at: float = 0.0
     total_s: float = 0.0
 
     def begin(self, now: float) -> bool:
-        """Return True for the first nested call under way."""
-        self.running += 1
-        if self.running > 1:
+        """Count a nested call; return whether it is the only one in flight."""
+        self.in_flight += 1
+        if self.in_flight > 1:
             return False
-        self.since = now
+        self.started_at = now
         return True
 
     def end(self, now: float) -> bool:
-        """Return True for the last nested call under way."""
-        self.running -= 1
-        if self.running > 0:
+        """Uncount a nested call; return whether it was the last one in flight."""
+        self.in_flight -= 1
+        if self.in_flight > 0:
             return False
-        self.total_s += now - self.since
+        self.total_s += now - self.started_at
         return True
 
-    def until(self, now: float) -> float:
-        return self.total_s + (now - self.since if self.running else 0.0)
+    def total_until(self, now: float) -> float:
+        return self.total_s + (now - self.started_at if self.in_flight else 0.0)
 
 
 class CallRegistry:
-    """Issues call tokens and cancels what runs below a call that has ended."""
+    """Issues call tokens and cancels the nested calls of a call that has ended."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
@@ -88,38 +88,38 @@
     def __len__(self) -> int:
         return len(self._tree)
 
-    def open(self, context: CallContext, watcher: NestedWatcher) -> str:
-        """Return a fresh call token, good until `close`."""
+    def open(self, context: CallContext, listener: NestedCallListener) -> str:
+        """Register a call and return its new call token, valid until `close`."""
         token = secrets.token_urlsafe(TOKEN_BYTES)
         with self._lock:
             self._tree.open(context, token)
-            self._nested_by_token[token] = _NestedTime(watcher)
+            self._nested_by_token[token] = _NestedTime(listener)
         return token
 
-    def close(self, token: str) -> ClosedRun:
-        """End a call and cancel what still runs below it."""
+    def close(self, token: str) -> ClosedCall:
+        """Unregister a call and cancel its nested calls that are still running."""
         with self._lock:
-            nested_s = self._nested_by_token.pop(token).until(self._clock())
+            nested_s = self._nested_by_token.pop(token).total_until(self._clock())
             closed = self._tree.close(token)
-            running = self._take(closed.running)
+            running = self._pop_cancellations(closed.running)
         _cancel(running)
-        return ClosedRun(closed.retry_tokens_left, nested_s)
+        return ClosedCall(closed.retry_tokens_left, nested_s)
 
     def cancel(self, token: str) -> None:
-        """Void a call's token and cancel what runs below it."""
+        """Revoke a call's token and cancel its nested calls."""
         with self._lock:
-            running = self._take(self._tree.cancel(token))
+            running = self._pop_cancellations(self._tree.cancel(token))
         _cancel(running)
 
     def context(self, token: str) -> CallContext | Refusal:
-        """Return the context of the running call that a token belongs to."""
+        """Return the context of a token's running call, or a refusal."""
         with self._lock:
             return self._tree.context(token, self._clock())
 
     def begin_nested(
         self, token: str, route: Route, cancellation: Cancellation
     ) -> NestedCall | Refusal:
-        """Start a nested call that ends with the call of the token."""
+        """Register a nested call that is cancelled when its parent call ends."""
         with self._lock:
             context = self._tree.child_context(token, route, self._clock())
             if isinstance(context, Refusal):
@@ -130,20 +130,20 @@
             nested_time = self._nested_by_token[token]
             first = nested_time.begin(self._clock())
         if first:
-            nested_time.watcher.nested_began()
+            nested_time.listener.nested_began()
         return NestedCall(token, ticket, context)
 
-    def finished(self, nested: NestedCall, retry_tokens_left: int) -> None:
-        """End a nested call and take back its unspent retry tokens."""
+    def end_nested(self, nested: NestedCall, retry_tokens_left: int) -> None:
+        """Unregister a nested call and return unspent retry tokens to its parent."""
         with self._lock:
             self._cancellations_by_ticket.pop(nested.ticket, None)
             self._tree.finished(nested.token, nested.ticket, retry_tokens_left)
             nested_time = self._nested_by_token.get(nested.token)
             last = nested_time is not None and nested_time.end(self._clock())
         if nested_time is not None and last:
-            nested_time.watcher.nested_ended()
+            nested_time.listener.nested_ended()
 
-    def _take(self, tickets: tuple[int, ...]) -> list[Cancellation]:
+    def _pop_cancellations(self, tickets: tuple[int, ...]) -> list[Cancellation]:
         found = (self._cancellations_by_ticket.pop(item, None) for item in tickets)
         return [item for item in found if item is not None]
 
--- a/damaskbay/daemon/ingress.py
+++ b/damaskbay/daemon/ingress.py
@@ -232,7 +232,7 @@
         try:
             result = self._send(call, context, route, cancellation)
         finally:
-            self._parts.calls.finished(nested, result.retry_tokens_left)
+            self._parts.calls.end_nested(nested, result.retry_tokens_left)
         return _Served(result, context, route.name, version)
 
 
--- a/damaskbay/daemon/operator.py
+++ b/damaskbay/daemon/operator.py
@@ -6,7 +6,7 @@
 from damaskbay.adapters.telemetry.client import Telemetry
 from damaskbay.cli.operator_models import DecisionModel, ExplainModel, StatusModel
 from damaskbay.core.explain import Decision
-from damaskbay.daemon.announcing import Announced, Announcer
+from damaskbay.daemon.announcing import Announcer, ServerAnnouncement
 from damaskbay.daemon.observer import DaemonObserver
 from damaskbay.ports.fleet import ConfigSource, Membership, ServerState
 from damaskbay.ports.operator import Health
@@ -86,7 +86,7 @@
 
     def announce(self, state: ServerState, slots: int, load: float) -> None:
         """Take what the local backend server says of itself."""
-        self._announcer.post(Announced(state, slots, load))
+        self._announcer.post(ServerAnnouncement(state, slots, load))
 
 
 def _model(decision: Decision) -> DecisionModel:
--- a/damaskbay/daemon/target.py
+++ b/damaskbay/daemon/target.py
@@ -1,4 +1,4 @@
-"""Run calls on the local backend server once admission lets them start."""
+"""Runs admitted calls on the local backend server."""
 
 import logging
 from collections.abc import Callable
@@ -17,12 +17,12 @@
 _LOGGER = logging.getLogger(__name__)
 
 QUEUE_GRACE_S = 0.5
-SHORTEST_WAIT_S = 0.0005
+MIN_REPORTED_WAIT_S = 0.0005
 
 
 @dataclass(frozen=True, slots=True)
 class TargetCall:
-    """One call that this daemon is to run beside its backend server."""
+    """One call for this daemon's backend server."""
 
     context: CallContext
     request: Request
@@ -30,7 +30,7 @@
 
 
 class Target:
-    """Admission, then one exchange with the backend server. Any thread may call."""
+    """Admits calls and sends them to the backend server once each. Thread-safe."""
 
     def __init__(
         self,
@@ -54,44 +54,44 @@
         self._observe_wait = observe_wait
 
     def has_room(self) -> bool:
-        """Tell whether a call could start at once."""
+        """Return whether a call submitted now would start immediately."""
         return self._gate.has_room()
 
     def run(self, call: TargetCall) -> CallResult:
-        """Run a call to its end on this thread."""
+        """Run a call on this thread and return its result."""
         admitted, ticket = self._admit(call)
         wait_s = call.context.deadline - self._clock() + QUEUE_GRACE_S
         try:
             refusal = admitted.result(max(0.0, wait_s))
         except TimeoutError:
-            refusal = not_run(Reason.DEADLINE_PASSED, detail="waited in the queue")
+            refusal = not_run(Reason.DEADLINE_PASSED, detail="deadline passed in queue")
             if not ticket.cancel():
                 refusal = admitted.result()
         if refusal is not None:
-            return self._refused(call, refusal)
+            return self._refused_result(call, refusal)
         return self._execute(call, ticket)
 
     def submit(self, call: TargetCall, done: Callable[[CallResult], None]) -> None:
-        """Run a call without blocking; `done` is called on some thread."""
+        """Run a call without blocking; `done` may be invoked on any thread."""
         admitted, ticket = self._admit(call)
 
-        def proceed(future: "Future[Refusal | None]") -> None:
+        def on_admitted(future: "Future[Refusal | None]") -> None:
             refusal = future.result()
             if refusal is not None:
-                done(self._refused(call, refusal))
+                done(self._refused_result(call, refusal))
                 return
-            self._executor.submit(self._execute_and_tell, call, ticket, done)
+            self._executor.submit(self._execute_and_report, call, ticket, done)
 
-        admitted.add_done_callback(proceed)
+        admitted.add_done_callback(on_admitted)
 
     def _admit(self, call: TargetCall) -> tuple["Future[Refusal | None]", Ticket]:
-        """Offer the call; the future holds None once it may start."""
+        """Submit a call for admission; the future is None, or a refusal."""
         admitted: Future[Refusal | None] = Future()
-        offered_at = self._clock()
+        submitted_at = self._clock()
 
         def start() -> None:
-            waited_s = self._clock() - offered_at
-            if waited_s >= SHORTEST_WAIT_S:
+            waited_s = self._clock() - submitted_at
+            if waited_s >= MIN_REPORTED_WAIT_S:
                 self._observe_wait(call.context, waited_s)
             admitted.set_result(None)
 
@@ -103,14 +103,14 @@
             refuse=admitted.set_result,
         )
 
-        def withdraw() -> None:
+        def cancel_waiting() -> None:
             if ticket.cancel():
                 admitted.set_result(not_run(Reason.CANCELLED))
 
-        call.cancellation.on_cancel(withdraw)
+        call.cancellation.on_cancel(cancel_waiting)
         return admitted, ticket
 
-    def _execute_and_tell(
+    def _execute_and_report(
         self,
         call: TargetCall,
         ticket: Ticket,
@@ -128,11 +128,11 @@
     def _execute(self, call: TargetCall, ticket: Ticket) -> CallResult:
         token = self._calls.open(call.context, ticket)
 
-        def void_token() -> None:
+        def revoke_token() -> None:
             self._calls.cancel(token)
 
-        call.cancellation.on_cancel(void_token)
-        began = self._clock()
+        call.cancellation.on_cancel(revoke_token)
+        started_at = self._clock()
         outcome: Answer | Refusal = unknown(Reason.INTERNAL_ERROR)
         try:
             outcome = self._backend.call(
@@ -142,9 +142,9 @@
                 cancellation=call.cancellation,
             )
         finally:
-            call.cancellation.forget(void_token)
+            call.cancellation.forget(revoke_token)
             closed = self._calls.close(token)
-            backend_s = self._clock() - began
+            backend_s = self._clock() - started_at
             ticket.finish(
                 Sample(
                     backend_s,
@@ -161,7 +161,7 @@
             backend_s=backend_s,
         )
 
-    def _refused(self, call: TargetCall, refusal: Refusal) -> CallResult:
+    def _refused_result(self, call: TargetCall, refusal: Refusal) -> CallResult:
         return CallResult(
             refusal,
             attempts=0,
--- a/tests/daemon/test_announcing.py
+++ b/tests/daemon/test_announcing.py
@@ -2,7 +2,11 @@
 
 import unittest
 
-from damaskbay.daemon.announcing import SILENT_AFTER_S, Announced, Announcer
+from damaskbay.daemon.announcing import (
+    ANNOUNCEMENT_TIMEOUT_S,
+    Announcer,
+    ServerAnnouncement,
+)
 from damaskbay.daemon.settings import BackendServerSettings
 from damaskbay.ports.fleet import ServerState
 from tests.common import function_suite
@@ -15,7 +19,7 @@
 
 
 class _Membership(FakeMembership):
-    """Remembers what was announced."""
+    """Records announcements."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -34,12 +38,12 @@
 
 
 def test_a_server_is_ready_only_when_it_says_so() -> None:
-    """Starting until announced, gone when silent, bounded by the settings."""
+    """A server is starting until it announces itself and gone after the timeout."""
     membership = _Membership()
     announcer = _announcer(membership)
     announcer.tick(NOW)
-    announcer.handle(Announced(ServerState.READY, 100, 0.0), NOW)
-    announcer.tick(NOW + SILENT_AFTER_S + 0.1)
+    announcer.handle(ServerAnnouncement(ServerState.READY, 100, 0.0), NOW)
+    announcer.tick(NOW + ANNOUNCEMENT_TIMEOUT_S + 0.1)
     assert membership.announced == [
         (ServerState.STARTING, 8),
         (ServerState.READY, 8),
@@ -48,16 +52,16 @@
 
 
 def test_draining_wins_over_what_the_server_says() -> None:
-    """A daemon that stops gets no new work, whatever its server announces."""
+    """A draining daemon gets no new calls, whatever its server announces."""
     membership = _Membership()
     announcer = _announcer(membership)
     announcer.drain()
-    announcer.handle(Announced(ServerState.READY, 8, 0.0), NOW)
+    announcer.handle(ServerAnnouncement(ServerState.READY, 8, 0.0), NOW)
     assert {state for state, _ in membership.announced} == {ServerState.DRAINING}
 
 
 def test_a_server_that_accepts_nothing_is_gone() -> None:
-    """Without announcements, a refused connection tells."""
+    """Without announcements, a refused connection marks the server as gone."""
     membership = _Membership()
     settings = SETTINGS.model_copy(update={"announced": False})
     _announcer(membership, settings).tick(NOW)
