--- a/damaskbay/daemon/announcing.py
+++ b/damaskbay/daemon/announcing.py
@@ -29,9 +29,10 @@
     """
     Publishes the local backend server's state to the membership periodically.
 
-    With the setting `announced` false, the server counts as ready as soon as it
-    accepts a connection. A server that has announced nothing for
-    `ANNOUNCEMENT_TIMEOUT_S`, or whose daemon is draining, gets no new calls.
+    With the setting `announced` false, a server without a recent announcement
+    counts as ready if it accepts a connection. With the setting true, a server
+    that has announced nothing for `ANNOUNCEMENT_TIMEOUT_S` gets no new calls.
+    No server gets new calls while its daemon is draining.
     """
 
     def __init__(
--- a/damaskbay/daemon/app.py
+++ b/damaskbay/daemon/app.py
@@ -1,4 +1,4 @@
-"""One daemon: all its parts, started in order and stopped in reverse."""
+"""The daemon process: creates its services, starts them and stops them in reverse."""
 
 import contextlib
 import logging
@@ -32,7 +32,7 @@
 from damaskbay.daemon.listeners import caller_server, operator_server
 from damaskbay.daemon.membership import MembershipService
 from damaskbay.daemon.observer import DaemonObserver
-from damaskbay.daemon.once import OnceService
+from damaskbay.daemon.once import AtMostOnceService
 from damaskbay.daemon.operator import DaemonOperator
 from damaskbay.daemon.peer_calls import PeerCalls
 from damaskbay.daemon.rates import RateService
@@ -45,16 +45,16 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-SPREAD_S = 2.0
-POLL_S = 0.05
-CONNECTIONS_END_S = 3.0
+DRAIN_ANNOUNCE_S = 2.0
+DRAIN_POLL_S = 0.05
+IDLE_CONNECTIONS_GRACE_S = 3.0
 
 
 class Daemon:
     """
-    A running daemon; entered and left as a context manager.
+    A daemon, run as a context manager.
 
-    `drain` is the graceful stop: new work goes elsewhere, running calls end.
+    `drain` stops it gracefully: new calls go to other daemons, running calls end.
     """
 
     def __init__(self, settings: DaemonSettings, secrets: tuple[bytes, ...]) -> None:
@@ -84,38 +84,48 @@
 
     @property
     def caller_address(self) -> PeerAddress:
-        """Return where callers are served."""
+        """Return the address of the listener for callers."""
         return PeerAddress(self._settings.caller_listen.host, self._callers.port)
 
     def drain(self) -> None:
-        """Stop gracefully: tell the fleet, end what runs, then close listeners."""
-        began = monotonic_s()
-        limit = began + self._settings.limits.graceful_stop_s
+        """
+        Announce the drain, wait for running calls and close caller connections.
+
+        Blocks for at most `graceful_stop_s`.
+        """
+        started_at = monotonic_s()
+        stop_at = started_at + self._settings.limits.graceful_stop_s
         _LOGGER.info("daemon: graceful stop begins.")
         self._announcer.drain()
-        while monotonic_s() < min(began + SPREAD_S, limit):
-            time.sleep(POLL_S)
+        while monotonic_s() < min(started_at + DRAIN_ANNOUNCE_S, stop_at):
+            time.sleep(DRAIN_POLL_S)
         self._callers.drain()
-        while monotonic_s() < limit and self._busy():
-            time.sleep(POLL_S)
-        self._end_connections(limit)
-        _LOGGER.info("daemon: graceful stop ends, %d calls left.", self._under_way())
+        while monotonic_s() < stop_at and self._has_calls_in_flight():
+            time.sleep(DRAIN_POLL_S)
+        self._close_caller_connections(stop_at)
+        _LOGGER.info(
+            "daemon: graceful stop ends, %d calls left.", self._calls_in_flight()
+        )
+
+    def _has_calls_in_flight(self) -> bool:
+        return self._calls_in_flight() > 0
 
-    def _busy(self) -> bool:
-        return self._under_way() > 0
+    def _calls_in_flight(self) -> int:
+        return self._ingress.in_flight + self._peer_calls.in_flight
 
-    def _under_way(self) -> int:
-        return self._ingress.inside + self._peer_calls.under_way
+    def _close_caller_connections(self, stop_at: float) -> None:
+        """
+        Close idle caller connections, refuse new calls and wait for running ones.
 
-    def _end_connections(self, limit: float) -> None:
-        """Give idle callers time to use or leave their open connections."""
-        end = min(limit, monotonic_s() + CONNECTIONS_END_S)
-        while monotonic_s() < end and self._callers.open_connections():
-            time.sleep(POLL_S)
+        Callers first get `IDLE_CONNECTIONS_GRACE_S` to use or close them.
+        """
+        close_at = min(stop_at, monotonic_s() + IDLE_CONNECTIONS_GRACE_S)
+        while monotonic_s() < close_at and self._callers.open_connections():
+            time.sleep(DRAIN_POLL_S)
         self._ingress.drain()
         self._callers.close_idle()
-        while monotonic_s() < limit and self._busy():
-            time.sleep(POLL_S)
+        while monotonic_s() < stop_at and self._has_calls_in_flight():
+            time.sleep(DRAIN_POLL_S)
 
     def _start(self, stack: contextlib.ExitStack) -> None:
         settings = self._settings
@@ -128,8 +138,8 @@
                 settings.platform.host, settings.platform.port, name=settings.instance
             )
         )
-        self._start_fleet_parts()
-        self._start_request_path(stack)
+        self._create_fleet_services()
+        self._create_request_path(stack)
         stack.enter_context(self._link)
         stack.enter_context(self._membership)
         stack.enter_context(self._config)
@@ -138,7 +148,7 @@
         stack.enter_context(operator_server(settings, self._operator))
         stack.enter_context(self._callers)
 
-    def _start_fleet_parts(self) -> None:
+    def _create_fleet_services(self) -> None:
         settings = self._settings
         tls = settings.tls
         self._link = PeerStreams(
@@ -174,7 +184,7 @@
             config=self._config,
         )
 
-    def _start_request_path(self, stack: contextlib.ExitStack) -> None:
+    def _create_request_path(self, stack: contextlib.ExitStack) -> None:
         settings = self._settings
         clock = monotonic_s
         rules = CurrentRules(self._config)
@@ -213,7 +223,7 @@
             other_domains=rules.other_domains,
             weight_of=rules.weight_of,
         )
-        once = OnceService(
+        once = AtMostOnceService(
             identity=self._identity,
             owner=RequestOwner(
                 settings.instance,
@@ -278,7 +288,7 @@
 
 
 def _tls_context(tls: TlsSettings, protocol: int) -> ssl.SSLContext:
-    """Return a context that proves this daemon and asks the peer for proof."""
+    """Return a TLS context for mutual authentication of daemons."""
     context = ssl.SSLContext(protocol)
     context.check_hostname = False
     context.verify_mode = ssl.CERT_REQUIRED
--- a/damaskbay/daemon/calls.py
+++ b/damaskbay/daemon/calls.py
@@ -34,7 +34,7 @@
 
 
 class NestedCallListener(Protocol):
-    """Listener for when a running call starts and stops waiting for nested calls."""
+    """Callbacks for the start and end of a call's wait for its nested calls."""
 
     def nested_began(self) -> None:
         """Record that the call waits for nested calls."""
--- a/damaskbay/daemon/dispatch.py
+++ b/damaskbay/daemon/dispatch.py
@@ -1,4 +1,4 @@
-"""Send a call to a backend server of its pool, and again where that is allowed."""
+"""Sends calls to backend servers of their pool, with retries."""
 
 import random
 import threading
@@ -26,12 +26,12 @@
 from damaskbay.ports.fleet import Membership, ServerView
 from damaskbay.ports.peer import PeerAddress, PeerFailure, PeerLink, PeerProblem
 
-_PEER_GRACE_S = 0.05
+_PEER_REPLY_GRACE_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
-class Outgoing:
-    """One call to be sent to its pool; `leaf` calls make no calls of their own."""
+class OutgoingCall:
+    """One call to send to its pool; `leaf` calls make no nested calls."""
 
     context: CallContext
     request: Request
@@ -40,7 +40,7 @@
 
 
 class PeerCaller:
-    """Sends one call to one other daemon and turns what comes back into a result."""
+    """Sends calls to other daemons and converts their replies to call results."""
 
     def __init__(self, link: PeerLink, clock: Callable[[], float]) -> None:
         self._link = link
@@ -55,7 +55,7 @@
         *,
         owned: bool = False,
     ) -> CallResult:
-        """Block until a result, a failure of the stream or the deadline."""
+        """Send a call and block until a reply, a stream failure or the deadline."""
         now = self._clock()
         message = to_call_message(context, request, now=now, owned=owned)
         timeout_s = max(0.0, context.deadline - now)
@@ -66,16 +66,16 @@
 
         cancellation.on_cancel(cancel)
         try:
-            reply = _wait(future, timeout_s + _PEER_GRACE_S)
+            reply = _wait(future, timeout_s + _PEER_REPLY_GRACE_S)
         finally:
             cancellation.forget(cancel)
         if isinstance(reply, (AnswerMessage, RefusalMessage)):
             return result_of(reply)
-        return _failed(reply, context)
+        return _result_of_failure(reply, context)
 
 
 class Dispatcher:
-    """Chooses a server, sends, learns from the outcome, retries within bounds."""
+    """Routes a call to a server, records the outcome and retries within limits."""
 
     def __init__(
         self,
@@ -102,28 +102,30 @@
         self._lock = threading.Lock()
         self._budgets_by_pool: dict[str, RetryBudget] = {}
 
-    def dispatch(self, outgoing: Outgoing) -> CallResult:
-        """Send until an answer, a refusal that stands, or the deadline."""
-        attempt = _Attempts(outgoing.context.retry_tokens)
+    def dispatch(self, outgoing: OutgoingCall) -> CallResult:
+        """Send a call until it has a response or final refusal, or its deadline."""
+        attempts = _CallAttempts(outgoing.context.retry_tokens)
         while True:
-            result = self._attempt(outgoing, attempt)
-            attempt.take(result)
-            delay_s = self._delay_before_next(outgoing, attempt, result)
+            result = self._send_once(outgoing, attempts)
+            attempts.record(result)
+            delay_s = self._delay_before_next(outgoing, attempts, result)
             if delay_s is None or outgoing.cancellation.cancelled:
-                return attempt.total(result)
+                return attempts.combined_result(result)
             time.sleep(delay_s)
 
-    def _attempt(self, outgoing: Outgoing, attempt: "_Attempts") -> CallResult:
+    def _send_once(
+        self, outgoing: OutgoingCall, attempts: "_CallAttempts"
+    ) -> CallResult:
         context = outgoing.context
         now = self._clock()
         if now >= context.deadline:
-            return _nothing_sent(not_run(Reason.DEADLINE_PASSED))
+            return _refused_unsent(not_run(Reason.DEADLINE_PASSED))
         servers = self._membership.servers(context.pool)
         with self._lock:
-            chosen = self._choose(servers, context, attempt, now)
+            chosen = self._choose(servers, context, attempts, now)
         if isinstance(chosen, Refusal):
-            return _nothing_sent(chosen)
-        moved = attempt.hand_out(nested=not outgoing.leaf)
+            return _refused_unsent(chosen)
+        moved = attempts.allot_tokens(nested=not outgoing.leaf)
         context = replace(context, retry_tokens=moved)
         return self._send(chosen, context, outgoing)
 
@@ -131,26 +133,26 @@
         self,
         servers: tuple[ServerView, ...],
         context: CallContext,
-        attempt: "_Attempts",
+        attempts: "_CallAttempts",
         now: float,
     ) -> ServerView | Refusal:
-        elsewhere = self._other_domains(context.pool)
-        if attempt.rounds == 0:
-            early = self._router.early_refusal(
+        remote_allowed = self._other_domains(context.pool)
+        if attempts.count == 0:
+            early_refusal = self._router.early_refusal(
                 servers,
                 context,
                 now,
                 weight=self._weight_of(context.workspace),
-                other_domains=elsewhere,
+                other_domains=remote_allowed,
             )
-            if early is not None:
-                return early
+            if early_refusal is not None:
+                return early_refusal
         chosen = self._router.choose(
             servers,
             context,
-            excluded=frozenset(attempt.excluded),
+            excluded=frozenset(attempts.excluded),
             now=now,
-            other_domains=elsewhere,
+            other_domains=remote_allowed,
             local_room=self._target.has_room(),
         )
         if isinstance(chosen, ServerView):
@@ -158,9 +160,9 @@
         return chosen
 
     def _send(
-        self, server: ServerView, context: CallContext, outgoing: Outgoing
+        self, server: ServerView, context: CallContext, outgoing: OutgoingCall
     ) -> CallResult:
-        began = self._clock()
+        started_at = self._clock()
         request = outgoing.request
         cancellation = outgoing.cancellation
         if server.instance == self._instance:
@@ -169,7 +171,7 @@
             result = self._peers.call(server.address, context, request, cancellation)
             result = replace(result, served_by=server.instance)
         now = self._clock()
-        outcome = _route_outcome(result, now - began)
+        outcome = _route_outcome(result, now - started_at)
         with self._lock:
             self._router.finished(server.instance, outcome, now)
             if outcome.failure is None:
@@ -179,7 +181,7 @@
         return result
 
     def _delay_before_next(
-        self, outgoing: Outgoing, attempt: "_Attempts", result: CallResult
+        self, outgoing: OutgoingCall, attempts: "_CallAttempts", result: CallResult
     ) -> float | None:
         now = self._clock()
         with self._lock:
@@ -187,15 +189,15 @@
                 result,
                 outgoing.context,
                 self._budget(outgoing.context.pool, now),
-                attempt.tokens,
-                attempt.rounds,
+                attempts.tokens,
+                attempts.count,
                 now,
                 self._rng,
             )
         if retry is None:
             return None
-        attempt.tokens -= 1
-        attempt.excluded.add(retry.excluded)
+        attempts.tokens -= 1
+        attempts.excluded.add(retry.excluded)
         return retry.delay_s
 
     def _budget(self, pool: str, now: float) -> RetryBudget:
@@ -206,37 +208,44 @@
         return budget
 
 
-class _Attempts:
-    """What one call has spent so far."""
+class _CallAttempts:
+    """Attempts, retry tokens and excluded servers of one call."""
 
     def __init__(self, tokens: int) -> None:
         self.tokens = tokens
-        self.rounds = 0
-        self.sends = 0
+        self.count = 0
+        self.total_sends = 0
         self.excluded: set[str] = set()
         self._may_have_run = False
 
-    def hand_out(self, *, nested: bool) -> int:
-        """Return the retry tokens that move to the next attempt."""
-        parts = split(self.tokens, nested=nested)
-        self.tokens = parts.kept
-        return parts.moved
+    def allot_tokens(self, *, nested: bool) -> int:
+        """Subtract and return the retry tokens that are sent with the next attempt."""
+        token_split = split(self.tokens, nested=nested)
+        self.tokens = token_split.kept
+        return token_split.moved
 
-    def take(self, result: CallResult) -> None:
-        """Take note of one attempt and of the tokens it hands back."""
-        self.rounds += 1
-        self.sends += result.attempts
+    def record(self, result: CallResult) -> None:
+        """Record the result of an attempt and add the retry tokens it returns."""
+        self.count += 1
+        self.total_sends += result.attempts
         self.tokens += result.retry_tokens_left
         if isinstance(result.result, Refusal) and not result.result.not_run:
             self._may_have_run = True
 
-    def total(self, last: CallResult) -> CallResult:
-        """Return the last result, truthful about all attempts before it."""
+    def combined_result(self, last: CallResult) -> CallResult:
+        """
+        Return the last result with the attempts and tokens of the whole call.
+
+        The outcome is `unknown` if an earlier attempt may have run.
+        """
         outcome = last.result
         if isinstance(outcome, Refusal) and outcome.not_run and self._may_have_run:
             outcome = replace(outcome, outcome=Outcome.UNKNOWN)
         return replace(
-            last, result=outcome, attempts=self.sends, retry_tokens_left=self.tokens
+            last,
+            result=outcome,
+            attempts=self.total_sends,
+            retry_tokens_left=self.tokens,
         )
 
 
@@ -250,8 +259,8 @@
         return PeerFailure(PeerProblem.TIMEOUT)
 
 
-def _failed(failure: PeerFailure, context: CallContext) -> CallResult:
-    """Turn a peer's failure into a refusal; unsent tokens come back."""
+def _result_of_failure(failure: PeerFailure, context: CallContext) -> CallResult:
+    """Convert a peer failure to a refusal; an unsent call keeps its retry tokens."""
     unsent = failure.problem in (PeerProblem.NOT_SENT, PeerProblem.REJECTED)
     if unsent:
         refusal = not_run(Reason.PEER_UNREACHABLE, detail=failure.detail)
@@ -263,7 +272,7 @@
     return CallResult(unknown(reason, detail=failure.detail), 1, 0)
 
 
-def _nothing_sent(refusal: Refusal) -> CallResult:
+def _refused_unsent(refusal: Refusal) -> CallResult:
     return CallResult(refusal, attempts=0)
 
 
--- a/damaskbay/daemon/ingress.py
+++ b/damaskbay/daemon/ingress.py
@@ -1,4 +1,4 @@
-"""Where a call enters: who, which route, which rate; then on to a server."""
+"""Entry point of calls: authentication, routing, rate limits and dispatch."""
 
 import threading
 import uuid
@@ -15,8 +15,8 @@
 from damaskbay.core.outcome import Outcome, Reason, Refusal, not_run
 from damaskbay.core.scrub import scrub
 from damaskbay.daemon.calls import CallRegistry
-from damaskbay.daemon.dispatch import Dispatcher, Outgoing
-from damaskbay.daemon.once import OnceService
+from damaskbay.daemon.dispatch import Dispatcher, OutgoingCall
+from damaskbay.daemon.once import AtMostOnceService
 from damaskbay.helpers.cancellation import Cancellation
 from damaskbay.ports.caller import IncomingCall, IssuedIds, ServedCall
 from damaskbay.ports.fleet import ConfigSource, ConfigState, RateGate
@@ -24,30 +24,30 @@
 
 
 class RouteSource(Protocol):
-    """Gives the route table of the set in force."""
+    """Source of the route table of a configuration set."""
 
     def matcher(self, state: ConfigState) -> RouteMatcher:
-        """Return the table that belongs to a set."""
+        """Return the route table of a configuration set."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class IngressParts:
-    """What the ingress works with."""
+    """Services that the ingress depends on."""
 
     config: ConfigSource
     routes: RouteSource
     rates: RateGate
     dispatcher: Dispatcher
     calls: CallRegistry
-    once: OnceService
+    once: AtMostOnceService
     observer: CallObserver
     room: EdgeRoom
 
 
 @dataclass(frozen=True, slots=True)
-class _Served:
-    """A result with how far the call came: its context, route and set."""
+class _IngressResult:
+    """A result with the context, route and configuration version, if determined."""
 
     result: CallResult
     context: CallContext | None = None
@@ -69,41 +69,41 @@
         self._clock = clock
         self._wall_clock = wall_clock
         self._lock = threading.Lock()
-        self._inside = 0
+        self._in_flight = 0
         self._draining = False
 
     @property
-    def inside(self) -> int:
-        """Return the number of calls under way."""
-        return self._inside
+    def in_flight(self) -> int:
+        """Return the number of calls in flight."""
+        return self._in_flight
 
     def drain(self) -> None:
-        """Refuse new root calls; nested calls of running requests still pass."""
+        """Refuse new root calls; nested calls of running calls are still served."""
         self._draining = True
 
     def issue_request_ids(self, count: int) -> IssuedIds:
-        """Issue ids for requests that must run at most once."""
+        """Issue request ids for calls that must run at most once."""
         return self._parts.once.issue(count)
 
     def serve(self, call: IncomingCall, cancellation: Cancellation) -> ServedCall:
-        """Serve one call to its end."""
-        began = self._clock()
+        """Serve one call and return its result."""
+        started_at = self._clock()
         call_id = uuid.uuid4().hex
-        with self._entered():
+        with self._counted_in_flight():
             if call.call_token is None:
                 served = self._serve_root(call, call_id, cancellation)
             else:
                 served = self._serve_nested(call, cancellation)
         result = served.result
         if served.context is None and call.request_id is not None:
-            result = _without_claim(result)
+            result = _with_unknown_outcome(result)
         if served.context is not None:
             call_id = served.context.call_id
         self._parts.observer.call_ended(
             EndedCall(
                 call_id,
                 result,
-                took_s=self._clock() - began,
+                took_s=self._clock() - started_at,
                 context=served.context,
                 route=served.route,
                 set_version=served.set_version,
@@ -112,51 +112,53 @@
         return ServedCall(call_id, result)
 
     @contextmanager
-    def _entered(self) -> Iterator[None]:
+    def _counted_in_flight(self) -> Iterator[None]:
         with self._lock:
-            self._inside += 1
+            self._in_flight += 1
         try:
             yield
         finally:
             with self._lock:
-                self._inside -= 1
+                self._in_flight -= 1
 
     def _serve_root(
         self, call: IncomingCall, call_id: str, cancellation: Cancellation
-    ) -> _Served:
+    ) -> _IngressResult:
         now = self._clock()
         if self._draining:
-            return _Served(refused(not_run(Reason.SHUTTING_DOWN, retry_after_s=1.0)))
+            return _IngressResult(
+                refused_result(not_run(Reason.SHUTTING_DOWN, retry_after_s=1.0))
+            )
         state = self._parts.config.state()
         if state is None:
             refusal = not_run(Reason.NO_CONFIGURATION, retry_after_s=1.0)
-            return _Served(refused(refusal))
+            return _IngressResult(refused_result(refusal))
         version = state.config.version
-        route = self._route(state, call)
+        route = self._match_route(state, call)
         if isinstance(route, Refusal):
-            return _Served(refused(route), set_version=version)
+            return _IngressResult(refused_result(route), set_version=version)
         context = self._root_context(state, route, call, call_id, now)
         if isinstance(context, Refusal):
-            return _Served(refused(context), None, route.name, version)
-        denied = self._admit_root(state, route, context, now)
-        if denied is not None:
-            result = self._refuse(call, context, denied)
+            return _IngressResult(refused_result(context), None, route.name, version)
+        admission_refusal = self._admit_root(state, route, context, now)
+        if admission_refusal is not None:
+            result = self._refuse(call, context, admission_refusal)
         else:
             result = self._send(call, context, route, cancellation)
-        return _Served(result, context, route.name, version)
+        return _IngressResult(result, context, route.name, version)
 
     def _refuse(
         self, call: IncomingCall, context: CallContext, refusal: Refusal
     ) -> CallResult:
-        """Refuse a send; with a request id, say what is true of all its sends."""
+        """Refuse a call; with a request id, the outcome covers all its attempts."""
         if context.request_id is None or context.idempotent:
-            return refused(refusal)
+            return refused_result(refusal)
         request = scrub(call.request, call.key)
         if isinstance(request, Refusal):
-            return refused(request)
+            return refused_result(request)
         return self._parts.once.refuse(context, request, refusal)
 
-    def _route(self, state: ConfigState, call: IncomingCall) -> Route | Refusal:
+    def _match_route(self, state: ConfigState, call: IncomingCall) -> Route | Refusal:
         request = call.request
         path = request.target.partition("?")[0]
         matcher = self._parts.routes.matcher(state)
@@ -191,7 +193,7 @@
         refusal = may_serve(route, state, now)
         if refusal is not None:
             return refusal
-        refusal = self._parts.room.refuse(self._inside - 1, context.priority_rank)
+        refusal = self._parts.room.refuse(self._in_flight - 1, context.priority_rank)
         if refusal is not None:
             return refusal
         if route.access is Access.OPEN and not context.workspace and not route.limits:
@@ -209,35 +211,39 @@
     ) -> CallResult:
         request = scrub(call.request, call.key)
         if isinstance(request, Refusal):
-            return refused(request)
-        outgoing = Outgoing(context, request, cancellation, leaf=not route.calls)
+            return refused_result(request)
+        outgoing = OutgoingCall(context, request, cancellation, leaf=not route.calls)
         if context.request_id is not None and not context.idempotent:
             return self._parts.once.run(outgoing)
         return self._parts.dispatcher.dispatch(outgoing)
 
-    def _serve_nested(self, call: IncomingCall, cancellation: Cancellation) -> _Served:
+    def _serve_nested(
+        self, call: IncomingCall, cancellation: Cancellation
+    ) -> _IngressResult:
         token = call.call_token or ""
         state = self._parts.config.state()
         if state is None:
-            return _Served(refused(not_run(Reason.NO_CONFIGURATION)))
+            return _IngressResult(refused_result(not_run(Reason.NO_CONFIGURATION)))
         version = state.config.version
-        route = self._route(state, call)
+        route = self._match_route(state, call)
         if isinstance(route, Refusal):
-            return _Served(refused(route), set_version=version)
+            return _IngressResult(refused_result(route), set_version=version)
         nested = self._parts.calls.begin_nested(token, route, cancellation)
         if isinstance(nested, Refusal):
-            return _Served(refused(nested), None, route.name, version)
-        context = _with_claims(nested.context, call, self._clock())
-        result = refused(not_run(Reason.INTERNAL_ERROR))
+            return _IngressResult(refused_result(nested), None, route.name, version)
+        context = _narrow_context(nested.context, call, self._clock())
+        result = refused_result(not_run(Reason.INTERNAL_ERROR))
         try:
             result = self._send(call, context, route, cancellation)
         finally:
             self._parts.calls.end_nested(nested, result.retry_tokens_left)
-        return _Served(result, context, route.name, version)
+        return _IngressResult(result, context, route.name, version)
 
 
-def _with_claims(context: CallContext, call: IncomingCall, now: float) -> CallContext:
-    """Apply what a nested call asks for; it can only narrow what it inherits."""
+def _narrow_context(
+    context: CallContext, call: IncomingCall, now: float
+) -> CallContext:
+    """Apply a nested call's options, which can only narrow its inherited context."""
     deadline = context.deadline
     if call.deadline_s is not None:
         deadline = min(deadline, now + call.deadline_s)
@@ -249,14 +255,18 @@
     )
 
 
-def _without_claim(result: CallResult) -> CallResult:
-    """Return a refusal that does not claim that no send of a request id ran."""
+def _with_unknown_outcome(result: CallResult) -> CallResult:
+    """
+    Change a refusal's outcome to `unknown`.
+
+    Earlier attempts with the same request id may have run.
+    """
     refusal = result.result
     if not isinstance(refusal, Refusal):
         return result
     return replace(result, result=replace(refusal, outcome=Outcome.UNKNOWN))
 
 
-def refused(refusal: Refusal) -> CallResult:
-    """Return the result of a call that was refused before it was sent."""
+def refused_result(refusal: Refusal) -> CallResult:
+    """Return the result of a call that is refused before it is sent."""
     return CallResult(refusal, attempts=0)
--- a/damaskbay/daemon/listeners.py
+++ b/damaskbay/daemon/listeners.py
@@ -23,7 +23,7 @@
 def caller_server(
     settings: DaemonSettings, service: CallerService, hang_ups: HangUpWatcher
 ) -> WsgiServer:
-    """Return the listener for callers and for the local backend server."""
+    """Return the HTTP server for callers and the local backend server's own calls."""
     options = WsgiOptions(
         host=settings.caller_listen.host,
         port=settings.caller_listen.port,
@@ -39,7 +39,7 @@
 
 
 def operator_server(settings: DaemonSettings, service: OperatorService) -> WsgiServer:
-    """Return the listener for operators and announcements."""
+    """Return the HTTP server for operators and backend server announcements."""
     options = WsgiOptions(
         host=settings.operator_listen.host,
         port=settings.operator_listen.port,
--- a/damaskbay/daemon/messages.py
+++ b/damaskbay/daemon/messages.py
@@ -1,4 +1,4 @@
-"""Messages of calls between daemons."""
+"""Messages that carry calls and their results between daemons."""
 
 from dataclasses import dataclass
 
@@ -11,10 +11,11 @@
 @dataclass(frozen=True, slots=True)
 class CallMessage:
     """
-    A call on its way to the daemon that is to run it.
+    A call that one daemon sends to another.
 
-    `remaining_s` is the time left in seconds. With `owned` the receiver owns the
-    request id: it makes the call as its first daemon instead of running it.
+    `remaining_s` is the time to the deadline in seconds. With `owned` the receiver
+    owns the request id: it dispatches the call to a server of the pool instead of
+    running it on its own backend server.
     """
 
     call_id: str
@@ -43,7 +44,7 @@
 @message("call.answer")
 @dataclass(frozen=True, slots=True)
 class AnswerMessage:
-    """A whole answer on its way back."""
+    """The complete response to a forwarded call."""
 
     status: int
     headers: Headers
@@ -60,7 +61,7 @@
 @message("call.refusal")
 @dataclass(frozen=True, slots=True)
 class RefusalMessage:
-    """A refusal on its way back."""
+    """The refusal of a forwarded call."""
 
     reason: Reason
     outcome: Outcome
@@ -76,7 +77,7 @@
 def to_call_message(
     context: CallContext, request: Request, *, now: float, owned: bool = False
 ) -> CallMessage:
-    """Return the message that hands a call on; its deadline becomes time left."""
+    """Return the message of a call; the deadline is converted to remaining time."""
     return CallMessage(
         call_id=context.call_id,
         workspace=context.workspace,
@@ -103,7 +104,7 @@
 
 
 def context_of(call: CallMessage, *, now: float) -> CallContext:
-    """Return the context of a received call, with a deadline of this machine."""
+    """Return the context of a received call; the deadline uses the local clock."""
     return CallContext(
         call_id=call.call_id,
         workspace=call.workspace,
@@ -129,7 +130,7 @@
 
 
 def to_result_message(result: CallResult) -> AnswerMessage | RefusalMessage:
-    """Return the message that carries a result back."""
+    """Return the reply message of a call result."""
     outcome = result.result
     if isinstance(outcome, Answer):
         return AnswerMessage(
@@ -158,7 +159,7 @@
 
 
 def result_of(reply: AnswerMessage | RefusalMessage) -> CallResult:
-    """Return the result that a message carries."""
+    """Return the call result of a reply message."""
     outcome: Answer | Refusal
     backend_s: float | None = None
     nested_failed = False
--- a/damaskbay/daemon/observer.py
+++ b/damaskbay/daemon/observer.py
@@ -1,4 +1,4 @@
-"""Tell metrics, and the record that explains decisions, how calls went."""
+"""Records finished calls in the metrics and the decision log."""
 
 import time
 from collections import deque
@@ -15,35 +15,36 @@
 DECISION_ANSWERED = "answered"
 EXPLAIN_TIMEOUT_S = 2.0
 MS_PER_S = 1000
-TICK_S = 0.05
-MAX_UNREAD = 20_000
+PROCESS_TICK_S = 0.05
+MAX_PENDING_EVENTS = 20_000
 
 
 @dataclass(frozen=True, slots=True)
-class _Ended:
+class _CallEnded:
     call: EndedCall
     wall_now: float
 
 
 @dataclass(frozen=True, slots=True)
-class _Waited:
+class _QueueWaited:
     context: CallContext
     waited_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class _Question:
+class _ExplainRequest:
     call_id: str | None
     workspace: str | None
-    answer: "Future[tuple[Decision, ...]]"
+    reply: "Future[tuple[Decision, ...]]"
 
 
 class DaemonObserver(Task):
     """
-    Implements ports.metrics.CallObserver, off the thread that serves the call.
+    Records call events on a thread of its own (port: CallObserver).
 
-    Notes are read at every tick, so that a call wakes no other thread. What comes
-    while `MAX_UNREAD` are unread is dropped and counted in `dropped`.
+    Events are queued and processed at every tick, so that a call wakes no other
+    thread. While `MAX_PENDING_EVENTS` are pending, new events are dropped and
+    counted in `dropped`.
     """
 
     def __init__(
@@ -53,67 +54,67 @@
         *,
         wall_clock: Callable[[], float],
     ) -> None:
-        super().__init__("observer", tick_s=TICK_S)
-        self._unread: deque[_Ended | _Waited] = deque()
+        super().__init__("observer", tick_s=PROCESS_TICK_S)
+        self._pending: deque[_CallEnded | _QueueWaited] = deque()
         self._telemetry = telemetry
-        self._log = log
+        self._decision_log = log
         self._wall_clock = wall_clock
         self.dropped = 0
 
     def call_ended(self, ended: EndedCall) -> None:
-        """Take note of a call that ended at its ingress."""
-        self._note(_Ended(ended, self._wall_clock()))
+        """Queue the event of a call that ended at its ingress."""
+        self._enqueue(_CallEnded(ended, self._wall_clock()))
 
     def queue_waited(self, context: CallContext, waited_s: float) -> None:
-        """Take note of the time a call waited for admission."""
-        self._note(_Waited(context, waited_s))
+        """Queue the event of a call that waited for admission, in seconds."""
+        self._enqueue(_QueueWaited(context, waited_s))
 
     def explain(
         self, *, call_id: str | None, workspace: str | None
     ) -> tuple[Decision, ...]:
-        """Return what is remembered of a call or of a workspace, oldest first."""
-        question = _Question(call_id, workspace, Future())
-        if not self.post(question):
+        """Return the recorded decisions of a call or a workspace, oldest first."""
+        explain_request = _ExplainRequest(call_id, workspace, Future())
+        if not self.post(explain_request):
             return ()
-        return question.answer.result(EXPLAIN_TIMEOUT_S)
+        return explain_request.reply.result(EXPLAIN_TIMEOUT_S)
 
     def handle(self, message: object, now: float) -> None:
-        """Answer a question."""
-        if isinstance(message, _Question):
-            self._read_all()
-            message.answer.set_result(self._find(message))
+        """Process pending events, then reply to an explain request."""
+        if isinstance(message, _ExplainRequest):
+            self._process_pending()
+            message.reply.set_result(self._find_decisions(message))
 
     def tick(self, now: float) -> None:
-        """Count and record what has come."""
-        self._read_all()
+        """Process pending events."""
+        self._process_pending()
 
-    def _note(self, note: "_Ended | _Waited") -> None:
-        if len(self._unread) >= MAX_UNREAD:
+    def _enqueue(self, event: "_CallEnded | _QueueWaited") -> None:
+        if len(self._pending) >= MAX_PENDING_EVENTS:
             self.dropped += 1
             return
-        self._unread.append(note)
+        self._pending.append(event)
 
-    def _read_all(self) -> None:
-        while self._unread:
-            self._read(self._unread.popleft())
-            # Lets a call that waits for the interpreter go first.
+    def _process_pending(self) -> None:
+        while self._pending:
+            self._process(self._pending.popleft())
+            # Releases the interpreter lock, so that threads serving calls run first.
             time.sleep(0)
 
-    def _read(self, note: "_Ended | _Waited") -> None:
-        if isinstance(note, _Waited):
-            self._telemetry.queue_waited(note.context, note.waited_s)
+    def _process(self, event: "_CallEnded | _QueueWaited") -> None:
+        if isinstance(event, _QueueWaited):
+            self._telemetry.queue_waited(event.context, event.waited_s)
             return
-        call = note.call
+        call = event.call
         self._telemetry.call_ended(call.context, call.result, took_s=call.took_s)
-        self._log.record(_decision(call, note.wall_now))
+        self._decision_log.record(_decision_of(call, event.wall_now))
 
-    def _find(self, question: _Question) -> tuple[Decision, ...]:
-        if question.call_id is not None:
-            return self._log.by_call(question.call_id)
-        return self._log.by_workspace(question.workspace or "")
+    def _find_decisions(self, explain_request: _ExplainRequest) -> tuple[Decision, ...]:
+        if explain_request.call_id is not None:
+            return self._decision_log.by_call(explain_request.call_id)
+        return self._decision_log.by_workspace(explain_request.workspace or "")
 
 
-def _decision(call: EndedCall, wall_now: float) -> Decision:
+def _decision_of(call: EndedCall, wall_now: float) -> Decision:
     outcome = call.result.result
     if isinstance(outcome, Answer):
         decision, reason, detail = DECISION_ANSWERED, str(outcome.status), ""
--- a/damaskbay/daemon/once.py
+++ b/damaskbay/daemon/once.py
@@ -1,4 +1,4 @@
-"""Requests that must run at most once: find their owner, remember their outcome."""
+"""Runs calls with a request id at most once, at the daemon that owns the id."""
 
 import threading
 from collections.abc import Callable
@@ -12,16 +12,17 @@
 )
 from damaskbay.core.call import Answer, CallContext, CallResult, Request
 from damaskbay.core.outcome import Outcome, Reason, Refusal, unknown
-from damaskbay.daemon.dispatch import Dispatcher, Outgoing, PeerCaller
+from damaskbay.daemon.dispatch import Dispatcher, OutgoingCall, PeerCaller
 from damaskbay.ports.caller import IssuedIds
 from damaskbay.ports.peer import PeerIdentity
 
 
-class OnceService:
+class AtMostOnceService:
     """
-    Hands a request to the daemon that issued its id, which runs it at most once.
+    Runs calls whose request id this daemon issued and forwards others to the issuer.
 
-    The owner's memory is guarded by a lock; no lock is held while a call runs.
+    A lock guards the outcomes that this daemon has recorded; it is not held while
+    a call runs.
     """
 
     def __init__(
@@ -43,43 +44,44 @@
         self._lock = threading.Lock()
 
     def issue(self, count: int) -> IssuedIds:
-        """Issue ids that this daemon owns."""
+        """Issue request ids that this daemon owns."""
         with self._lock:
             ids = self._owner.issue(count, self._clock())
         return IssuedIds(ids, self._owner.options.validity_s)
 
-    def run(self, outgoing: Outgoing) -> CallResult:
-        """Run a request under its id, here or at the daemon that owns the id."""
+    def run(self, outgoing: OutgoingCall) -> CallResult:
+        """Run a call at the daemon that owns its request id."""
         request_id = outgoing.context.request_id or ""
         ref = parse_request_id(self._secrets, request_id)
         if isinstance(ref, Refusal):
             return CallResult(ref, attempts=0)
-        if self._is_mine(ref):
+        if self._is_own(ref):
             return self.run_owned(outgoing)
-        return self._hand_to_owner(outgoing, ref)
+        return self._forward_to_owner(outgoing, ref)
 
     def refuse(
         self, context: CallContext, request: Request, refusal: Refusal
     ) -> CallResult:
         """
-        Refuse a send of a request with an id before it reached its owner.
+        Refuse a call with a request id before it reaches the owner of the id.
 
-        The refusal speaks of all sends of the id: a repeat of what has run is
-        told so, and where this daemon cannot know, the outcome is `unknown`.
+        The result covers all attempts with the id: if this daemon owns the id and
+        has recorded an earlier attempt, the result is that of the earlier attempt.
+        If another daemon owns the id, the outcome is `unknown`.
         """
         request_id = context.request_id or ""
         ref = parse_request_id(self._secrets, request_id)
         if isinstance(ref, Refusal):
             return CallResult(ref, attempts=0)
-        if not self._is_mine(ref):
+        if not self._is_own(ref):
             return CallResult(replace(refusal, outcome=Outcome.UNKNOWN), attempts=0)
         fingerprint = fingerprint_of(context.workspace, request)
         with self._lock:
-            known = self._owner.recall(request_id, fingerprint, self._clock())
-        return CallResult(known or refusal, attempts=0)
+            recorded = self._owner.recall(request_id, fingerprint, self._clock())
+        return CallResult(recorded or refusal, attempts=0)
 
-    def run_owned(self, outgoing: Outgoing) -> CallResult:
-        """Run a request whose id this daemon may own; repeats never run again."""
+    def run_owned(self, outgoing: OutgoingCall) -> CallResult:
+        """Run a call at most once if this daemon owns its request id."""
         request_id = outgoing.context.request_id or ""
         fingerprint = fingerprint_of(outgoing.context.workspace, outgoing.request)
         with self._lock:
@@ -95,8 +97,13 @@
                 self._owner.finish(request_id, result, self._clock())
         return done
 
-    def _hand_to_owner(self, outgoing: Outgoing, ref: OwnerRef) -> CallResult:
-        """Ask the owner; without its word an earlier run can't be ruled out."""
+    def _forward_to_owner(self, outgoing: OutgoingCall, ref: OwnerRef) -> CallResult:
+        """
+        Send a call to the owner of its request id.
+
+        If the owner is unreachable, an earlier attempt may have run: the outcome is
+        `unknown`.
+        """
         result = self._peers.call(
             ref.address,
             outgoing.context,
@@ -106,10 +113,10 @@
         )
         outcome = result.result
         if isinstance(outcome, Refusal) and outcome.reason is Reason.PEER_UNREACHABLE:
-            away = unknown(Reason.PEER_UNREACHABLE, detail=outcome.detail)
-            return CallResult(away, attempts=0)
+            refusal = unknown(Reason.PEER_UNREACHABLE, detail=outcome.detail)
+            return CallResult(refusal, attempts=0)
         return result
 
-    def _is_mine(self, ref: OwnerRef) -> bool:
-        mine = self._identity
-        return (ref.instance, ref.incarnation) == (mine.instance, mine.incarnation)
+    def _is_own(self, ref: OwnerRef) -> bool:
+        own = self._identity
+        return (ref.instance, ref.incarnation) == (own.instance, own.incarnation)
--- a/damaskbay/daemon/operator.py
+++ b/damaskbay/daemon/operator.py
@@ -1,4 +1,4 @@
-"""What the operator listener tells of this daemon."""
+"""Data that the operator listener serves: metrics, health, status and decisions."""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 class DaemonOperator:
-    """Implements ports.operator.OperatorService."""
+    """Serves operators and backend server announcements (port: OperatorService)."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         return self._telemetry.scrape()
 
     def health(self) -> Health:
-        """Return whether the daemon can take calls."""
+        """Return the reasons why the daemon is not ready, if any."""
         reasons = []
         if self._config.state() is None:
             reasons.append(NO_CONFIGURATION)
@@ -77,19 +77,19 @@
 
     def explain(self, *, call_id: str | None, workspace: str | None) -> dict[str, Any]:
         """Return the JSON document of `/explain`."""
-        found = self._observer.explain(call_id=call_id, workspace=workspace)
+        decisions = self._observer.explain(call_id=call_id, workspace=workspace)
         document = ExplainModel(
             instance=self._identity.instance,
-            decisions=tuple(_model(decision) for decision in found),
+            decisions=tuple(_decision_model(decision) for decision in decisions),
         )
         return document.model_dump(mode="json")
 
     def announce(self, state: ServerState, slots: int, load: float) -> None:
-        """Take what the local backend server says of itself."""
+        """Pass on an announcement of the local backend server."""
         self._announcer.post(ServerAnnouncement(state, slots, load))
 
 
-def _model(decision: Decision) -> DecisionModel:
+def _decision_model(decision: Decision) -> DecisionModel:
     return DecisionModel(
         at=decision.at,
         call_id=decision.call_id,
--- a/damaskbay/daemon/peer_calls.py
+++ b/damaskbay/daemon/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls that other daemons send here."""
+"""Handles calls that other daemons forward to this one."""
 
 import logging
 import threading
@@ -8,14 +8,14 @@
 
 from damaskbay.core.call import CallResult
 from damaskbay.core.outcome import Reason, not_run, unknown
-from damaskbay.daemon.dispatch import Outgoing
+from damaskbay.daemon.dispatch import OutgoingCall
 from damaskbay.daemon.messages import (
     CallMessage,
     context_of,
     request_of,
     to_result_message,
 )
-from damaskbay.daemon.once import OnceService
+from damaskbay.daemon.once import AtMostOnceService
 from damaskbay.daemon.target import Target, TargetCall
 from damaskbay.helpers.cancellation import Cancellation
 from damaskbay.ports.peer import PeerIdentity, PeerLink, Responder
@@ -25,16 +25,16 @@
 
 class PeerCalls:
     """
-    Takes calls from proven streams, never blocking the stream's thread.
+    Runs calls from authenticated peers without blocking the stream's thread.
 
-    At most `max_calls` are under way; more are refused at once.
+    Calls beyond `max_calls` in flight are refused immediately.
     """
 
     def __init__(
         self,
         *,
         target: Target,
-        once: OnceService,
+        once: AtMostOnceService,
         executor: Executor,
         max_calls: int,
         pool: str,
@@ -47,21 +47,21 @@
         self._pool = pool
         self._clock = clock
         self._lock = threading.Lock()
-        self._under_way = 0
+        self._in_flight = 0
 
     @property
-    def under_way(self) -> int:
-        """Return the number of calls from peers that have no answer yet."""
-        return self._under_way
+    def in_flight(self) -> int:
+        """Return the number of calls from peers that are in flight."""
+        return self._in_flight
 
     def register(self, link: PeerLink) -> None:
-        """Handle the messages of calls; before the link starts."""
+        """Register the handler of call messages; required before the link starts."""
         link.register(CallMessage, self._handle)
 
     def _handle(self, sender: PeerIdentity, call: Any, responder: Responder) -> None:
         cancellation = Cancellation()
         responder.on_cancel(cancellation.cancel)
-        if not self._enter():
+        if not self._try_reserve_slot():
             refuse = unknown if call.owned else not_run
             refusal = refuse(Reason.OVERLOADED, detail="too many calls from peers")
             responder.answer(
@@ -70,22 +70,25 @@
             return
 
         def done(result: CallResult) -> None:
-            self._leave()
+            self._release_slot()
             responder.answer(to_result_message(result))
 
         if call.owned:
             self._executor.submit(self._run_owned, call, cancellation, done)
             return
-        self._start(call, cancellation, done)
+        self._submit_to_target(call, cancellation, done)
 
-    def _start(
+    def _submit_to_target(
         self,
         call: CallMessage,
         cancellation: Cancellation,
         done: Callable[[CallResult], None],
     ) -> None:
         if call.pool != self._pool:
-            refusal = not_run(Reason.NO_BACKEND_SERVER, detail="another pool")
+            refusal = not_run(
+                Reason.NO_BACKEND_SERVER,
+                detail="backend server belongs to another pool",
+            )
             done(CallResult(refusal, 0, call.retry_tokens))
             return
         context = context_of(call, now=self._clock())
@@ -101,20 +104,20 @@
         context = context_of(call, now=self._clock())
         try:
             result = self._once.run_owned(
-                Outgoing(context, request_of(call), cancellation, leaf=True)
+                OutgoingCall(context, request_of(call), cancellation, leaf=True)
             )
         except Exception:
-            _LOGGER.exception("peer calls: owned call failed.")
+            _LOGGER.exception("peer calls: call with an owned request id failed.")
             result = CallResult(unknown(Reason.INTERNAL_ERROR))
         done(result)
 
-    def _enter(self) -> bool:
+    def _try_reserve_slot(self) -> bool:
         with self._lock:
-            if self._under_way >= self._max_calls:
+            if self._in_flight >= self._max_calls:
                 return False
-            self._under_way += 1
+            self._in_flight += 1
             return True
 
-    def _leave(self) -> None:
+    def _release_slot(self) -> None:
         with self._lock:
-            self._under_way -= 1
+            self._in_flight -= 1
--- a/damaskbay/daemon/routes.py
+++ b/damaskbay/daemon/routes.py
@@ -1,18 +1,18 @@
-"""The route table of the set in force, made once per set."""
+"""Cache of the route table of the active configuration set."""
 
 from damaskbay.config.matching import RouteTable
 from damaskbay.ports.fleet import ConfigState
 
 
 class RouteTables:
-    """Keeps the table of the newest set that was asked for."""
+    """Caches the route table of the configuration set that was requested last."""
 
     def __init__(self) -> None:
         self._digest = ""
         self._table: RouteTable | None = None
 
     def matcher(self, state: ConfigState) -> RouteTable:
-        """Return the table that belongs to a set."""
+        """Return the route table of a configuration set."""
         config = state.config
         table = self._table
         if table is None or self._digest != config.digest:
--- a/damaskbay/daemon/rules.py
+++ b/damaskbay/daemon/rules.py
@@ -1,4 +1,4 @@
-"""Short questions to the set in force, from any thread."""
+"""Thread-safe queries of the active configuration set."""
 
 from damaskbay.core.call import CallContext
 from damaskbay.core.identify import still_allowed
@@ -9,13 +9,13 @@
 
 
 class CurrentRules:
-    """Answers by the set in force at the moment of the question."""
+    """Reads rules from the configuration set that is active at the time of the call."""
 
     def __init__(self, source: ConfigSource) -> None:
         self._source = source
 
     def weight_of(self, workspace: str) -> float:
-        """Return a workspace's weight in fair shares."""
+        """Return a workspace's weight in fair queueing."""
         state = self._source.state()
         if state is None:
             return DEFAULT_WEIGHT
@@ -23,7 +23,7 @@
         return found.weight if found is not None else DEFAULT_WEIGHT
 
     def other_domains(self, pool: str) -> bool:
-        """Tell whether calls of a pool may go to other failure domains."""
+        """Return whether calls of a pool may be sent to remote failure domains."""
         state = self._source.state()
         if state is None:
             return False
@@ -32,10 +32,10 @@
 
     def still_allowed(self, context: CallContext) -> Refusal | None:
         """
-        Refuse a waiting call whose key, workspace or route is withdrawn.
+        Refuse a waiting call whose key, workspace or route has been withdrawn.
 
-        A call that was let in by a newer set than this daemon's is not judged by
-        the older one, which can't know a key that has just been granted.
+        Returns None if the call was admitted under a newer configuration set than
+        this daemon's: the older set may lack a key that has just been granted.
         """
         state = self._source.state()
         if state is None or state.config.version < context.config_version:
--- a/damaskbay/daemon/settings.py
+++ b/damaskbay/daemon/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one daemon process: JSON, checked, with errors that name the field."""
+"""Settings of a daemon process, read from JSON and validated."""
 
 import ipaddress
 import json
@@ -22,12 +22,12 @@
 MIN_SECRET_CHARACTERS = 16
 
 
-def _ip_number(value: str) -> str:
+def _ip_address(value: str) -> str:
     ipaddress.ip_address(value)
     return value
 
 
-Host = Annotated[str, AfterValidator(_ip_number)]
+Host = Annotated[str, AfterValidator(_ip_address)]
 Port = Annotated[int, Field(ge=0, le=65535)]
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
 
@@ -37,18 +37,18 @@
 
 
 class AddressSettings(_Model):
-    """An IP number and a port; port 0 takes a free one where we listen."""
+    """An IP address and a port; a listener with port 0 uses any free port."""
 
     host: Host
     port: Port
 
     def address(self) -> PeerAddress:
-        """Return the plain address."""
+        """Return the address as used by the peer ports."""
         return PeerAddress(self.host, self.port)
 
 
 class SecretSettings(_Model):
-    """Where a secret stands: a file or an environment variable, never here."""
+    """Source of a secret: a file or an environment variable, never the value."""
 
     file: Path | None = None
     environment: str | None = None
@@ -61,7 +61,7 @@
 
 
 class BackendServerSettings(_Model):
-    """The local backend server and what it bears."""
+    """Address and capacity of the local backend server."""
 
     host: Host
     port: Port
@@ -69,7 +69,7 @@
     slots: Annotated[int, Field(ge=1, le=10_000)]
     connections: Annotated[int, Field(ge=1, le=20_000)]
     announced: bool = False
-    """False: ready as soon as it accepts a connection; True: only by announcement."""
+    """False: ready once it accepts a connection. True: only when it announces so."""
 
 
 class LoggingSettings(_Model):
@@ -78,7 +78,7 @@
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
     format: Literal["text", "json"] = "text"
     lines_per_s: Annotated[float, Field(gt=0)] = 20.0
-    """Per logger and message; more are counted and summed up in one line."""
+    """Per logger and message; further lines are counted and reported in one line."""
 
 
 class TlsSettings(_Model):
@@ -90,7 +90,7 @@
 
 
 class LimitSettings(_Model):
-    """Bounds of this process."""
+    """Resource limits of this process."""
 
     caller_threads: Annotated[int, Field(ge=4, le=4000)] = 128
     caller_connections: Annotated[int, Field(ge=4, le=20_000)] = 2000
@@ -110,10 +110,10 @@
     operator_listen: AddressSettings
     platform: AddressSettings
     peer_secrets: Annotated[tuple[SecretSettings, ...], Field(min_length=1)]
-    """The first one proves this daemon; all are accepted, for rotation."""
+    """The first authenticates this daemon; all are accepted, to allow rotation."""
     backend_server: BackendServerSettings
     seeds: tuple[AddressSettings, ...] = ()
-    """Gossip addresses to join by when the platform can't be reached."""
+    """Gossip addresses used to join the fleet when the platform is unreachable."""
     logging: LoggingSettings = LoggingSettings()
     limits: LimitSettings = LimitSettings()
     tls: TlsSettings | None = None
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsProblem:
-    """What is wrong with a settings file, a line per field."""
+    """Validation errors of a settings file, one line per field."""
 
     source: str
     problems: tuple[str, ...]
@@ -131,7 +131,7 @@
 
 
 def load_settings(path: Path) -> DaemonSettings | SettingsProblem:
-    """Read and check a settings file."""
+    """Read and validate a settings file."""
     source = str(path)
     try:
         document = json.loads(path.read_text())
@@ -143,22 +143,23 @@
 
 
 def check_settings(document: object, source: str) -> DaemonSettings | SettingsProblem:
-    """Check a settings document; `source` is named in each problem."""
+    """Validate a settings document; each problem starts with `source`."""
     try:
         return DaemonSettings.model_validate(document)
     except ValidationError as error:
-        found = error.errors(include_url=False, include_input=False)
+        errors = error.errors(include_url=False, include_input=False)
         return SettingsProblem(
-            source, tuple(f"{_field(item['loc'])}: {item['msg']}" for item in found)
+            source,
+            tuple(f"{_field_path(item['loc'])}: {item['msg']}" for item in errors),
         )
 
 
 def load_secrets(settings: DaemonSettings) -> tuple[bytes, ...] | SettingsProblem:
-    """Read the peer secrets from where the settings say they stand."""
+    """Read the peer secrets from the files and variables named in the settings."""
     secrets: list[bytes] = []
     problems: list[str] = []
-    for index, place in enumerate(settings.peer_secrets):
-        text = _read_secret(place)
+    for index, location in enumerate(settings.peer_secrets):
+        text = _read_secret(location)
         if text is None:
             problems.append(f"peer_secrets.{index}: the secret can't be read")
         elif len(text) < MIN_SECRET_CHARACTERS:
@@ -172,14 +173,14 @@
     return tuple(secrets)
 
 
-def _read_secret(place: SecretSettings) -> str | None:
-    if place.environment is not None:
-        return os.environ.get(place.environment)
+def _read_secret(location: SecretSettings) -> str | None:
+    if location.environment is not None:
+        return os.environ.get(location.environment)
     try:
-        return place.file.read_text().strip() if place.file else None
+        return location.file.read_text().strip() if location.file else None
     except OSError:
         return None
 
 
-def _field(location: tuple[int | str, ...]) -> str:
+def _field_path(location: tuple[int | str, ...]) -> str:
     return ".".join(str(part) for part in location) or "settings"
--- a/tests/daemon/common.py
+++ b/tests/daemon/common.py
@@ -30,7 +30,7 @@
 from damaskbay.daemon.calls import CallRegistry
 from damaskbay.daemon.dispatch import Dispatcher, PeerCaller
 from damaskbay.daemon.ingress import Ingress, IngressParts
-from damaskbay.daemon.once import OnceService
+from damaskbay.daemon.once import AtMostOnceService
 from damaskbay.daemon.peer_calls import PeerCalls
 from damaskbay.daemon.rules import CurrentRules
 from damaskbay.daemon.target import Target
@@ -375,7 +375,7 @@
             other_domains=rules.other_domains,
             weight_of=rules.weight_of,
         )
-        once = OnceService(
+        once = AtMostOnceService(
             identity=identity,
             owner=RequestOwner(
                 identity.instance,
--- a/tests/daemon/test_request_path.py
+++ b/tests/daemon/test_request_path.py
@@ -207,7 +207,7 @@
                 running.append(callers.submit(daemon.call, "/read/run"))
                 _wait_until(lambda: daemon.gate.running() == len(running))
             waiting = callers.submit(daemon.call, "/read/wait")
-            _wait_until(lambda: daemon.ingress.inside == len(running) + 1)
+            _wait_until(lambda: daemon.ingress.in_flight == len(running) + 1)
             config = path.config.config
             path.config.config = replace(config, version=2, keys_by_digest={})
             release.set()
