--- a/damaskbay/daemon/rates.py
+++ b/damaskbay/daemon/rates.py
@@ -1,4 +1,4 @@
-"""The gate that counts root calls against rate and burst."""
+"""Rate limiting of root calls by distributed token buckets."""
 
 import random
 from collections.abc import Callable
@@ -20,11 +20,11 @@
 from damaskbay.ports.platform import Platform
 
 MAX_WAIT_S = 1.5
-LEAVE_TIMEOUT_S = 4.0
+RELEASE_TIMEOUT_S = 4.0
 
 
 class RateService:
-    """Implements `ports.fleet.RateGate`; entered and left as a context manager."""
+    """Rate limiter, run as a context manager (port: RateGate)."""
 
     def __init__(
         self,
@@ -37,11 +37,13 @@
         options: ShareOptions | None = None,
         clock: Callable[[], float] = monotonic_s,
     ) -> None:
-        terms = options or ShareOptions()
+        share_options = options or ShareOptions()
         rng = random.Random(f"{identity.instance}/{identity.incarnation}")
         self._config = config
         self._clock = clock
-        self._stock = SharedStock(Stock(terms.token_validity_s, terms.holders, rng))
+        self._stock = SharedStock(
+            Stock(share_options.token_validity_s, share_options.holders, rng)
+        )
         self._task = RateTask(
             identity=identity,
             store=LedgerStore(platform),
@@ -49,13 +51,13 @@
             membership=membership,
             config=config,
             stock=self._stock,
-            options=terms,
+            options=share_options,
             clock=clock,
         )
 
     def __enter__(self) -> Self:
         self._task.__enter__()
-        self._config.subscribe(lambda _: self._on_new_set())
+        self._config.subscribe(lambda _: self._on_config_change())
         return self
 
     def __exit__(
@@ -64,33 +66,33 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Give all shares back, for a bounded time, and end the task."""
+        """Release all shares, for at most `RELEASE_TIMEOUT_S`, and stop the task."""
         self._task.post(Leave())
         with suppress(FutureTimeoutError):
-            self._task.left.result(LEAVE_TIMEOUT_S)
+            self._task.left.result(RELEASE_TIMEOUT_S)
         self._task.__exit__(exc_type, exc, traceback)
 
     def acquire(
         self, workspace: str, limits: tuple[str, ...], *, deadline: float, now: float
     ) -> Refusal | None:
-        """Spend one token of each bucket, or none at all; None: admitted."""
+        """Spend one token of each bucket or none; return None if admitted."""
         state = self._config.state()
         if state is None:
             return not_run(Reason.NO_CONFIGURATION)
         names = bucket_names(state.config, workspace, limits)
         if names is None:
             return not_run(Reason.RATE_EXCEEDED, detail="unknown workspace or limit")
-        taken = self._stock.acquire(names, self._clock())
-        if isinstance(taken, Waiter):
-            return self._wait(taken, deadline - now)
-        return taken
+        acquired = self._stock.acquire(names, self._clock())
+        if isinstance(acquired, Waiter):
+            return self._wait_for_tokens(acquired, deadline - now)
+        return acquired
 
-    def _wait(self, waiter: Waiter, left_s: float) -> Refusal | None:
+    def _wait_for_tokens(self, waiter: Waiter, remaining_s: float) -> Refusal | None:
         self._task.post(Wake())
         try:
-            return waiter.future.result(max(0.0, min(left_s, MAX_WAIT_S)))
+            return waiter.future.result(max(0.0, min(remaining_s, MAX_WAIT_S)))
         except FutureTimeoutError:
             return self._stock.give_up(waiter)
 
-    def _on_new_set(self) -> None:
+    def _on_config_change(self) -> None:
         self._task.post(NewSet())
--- a/damaskbay/daemon/rates_ledger.py
+++ b/damaskbay/daemon/rates_ledger.py
@@ -1,4 +1,4 @@
-"""Reads and writes ledgers in the platform."""
+"""Reads and writes the ledgers of rate shares in the platform's store."""
 
 import logging
 
@@ -29,25 +29,29 @@
 
 
 class LedgerStore:
-    """Turns calls of the holders into calls of the platform. Blocks."""
+    """Store of ledgers in the platform. Methods block."""
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
 
     def run(self, call: LedgerCall) -> CallResult:
-        """Make one call; every failure is a value."""
+        """Read or write a ledger; return failures as values instead of raising."""
         key = f"{LEDGER_KEY_PREFIX}{call.group}"
         if isinstance(call, WriteLedger):
             return self._write(key, call)
-        found = self._platform.get(key, timeout_s=CALL_TIMEOUT_S)
-        if isinstance(found, PlatformFailure):
+        entry = self._platform.get(key, timeout_s=CALL_TIMEOUT_S)
+        if isinstance(entry, PlatformFailure):
             return NoEffect()
-        return _stands(found)
+        return _current_ledger(entry)
 
     def _write(self, key: str, call: WriteLedger) -> CallResult:
         value = encode_ledger(call.proposal.ledger)
         if len(value) > MAX_PLATFORM_VALUE_BYTES:
-            _LOGGER.error("rates: ledger too large. %s: %d bytes", key, len(value))
+            _LOGGER.error(
+                "rates: ledger exceeds the platform's value limit. %s: %d bytes",
+                key,
+                len(value),
+            )
             return NoEffect()
         result = self._platform.compare_and_swap(
             key,
@@ -58,17 +62,19 @@
         if isinstance(result, Entry):
             return Wrote(result.revision)
         if isinstance(result, Conflict):
-            return _stands(result.current)
+            return _current_ledger(result.current)
         if result.problem is PlatformProblem.ANSWER_LOST:
             return Unresolved()
         return NoEffect()
 
 
-def _stands(entry: Entry | None) -> CallResult:
+def _current_ledger(entry: Entry | None) -> CallResult:
     if entry is None:
         return Stands(GroupLedger(), 0)
     ledger = decode_ledger(entry.value)
     if isinstance(ledger, BadLedger):
-        _LOGGER.error("rates: ledger unreadable. %s: %s", entry.key, ledger.detail)
+        _LOGGER.error(
+            "rates: stored ledger can't be decoded. %s: %s", entry.key, ledger.detail
+        )
         return Unresolved()
     return Stands(ledger, entry.revision)
--- a/damaskbay/daemon/rates_stock.py
+++ b/damaskbay/daemon/rates_stock.py
@@ -1,4 +1,4 @@
-"""The daemon's tokens at hand, shared by request threads and the rates task."""
+"""Thread-safe token stock, shared by the request threads and the rates task."""
 
 import threading
 from collections import Counter
@@ -15,14 +15,14 @@
 
 @dataclass(eq=False, slots=True)
 class Waiter:
-    """A request that waits for tokens; the future holds what acquire returns."""
+    """A call that waits for tokens; the future is None (admitted) or a refusal."""
 
     buckets: tuple[str, ...]
     future: "Future[Refusal | None]" = field(default_factory=Future)
 
 
 class SharedStock:
-    """A stock and its waiters under one lock, which is never held across I/O."""
+    """Token stock with a queue of waiters. The lock is never held during I/O."""
 
     def __init__(self, stock: Stock) -> None:
         self._stock = stock
@@ -30,12 +30,12 @@
         self._waiters: list[Waiter] = []
 
     def acquire(self, buckets: tuple[str, ...], now: float) -> Refusal | Waiter | None:
-        """Spend at once, refuse at once, or return a waiter."""
+        """Spend one token of each bucket or refuse; if tokens are missing, queue."""
         with self._lock:
             self._stock.arrive(buckets, now)
-            taken = self._stock.take(buckets, now)
-            if not isinstance(taken, Missing):
-                return taken
+            acquired = self._stock.take(buckets, now)
+            if not isinstance(acquired, Missing):
+                return acquired
             if len(self._waiters) >= MAX_WAITERS:
                 return not_run(Reason.SHARE_UNAVAILABLE, retry_after_s=1.0)
             waiter = Waiter(buckets)
@@ -43,16 +43,20 @@
             return waiter
 
     def give_up(self, waiter: Waiter) -> Refusal | None:
-        """End a wait; tokens that came at the last moment still count."""
+        """
+        Remove a waiter from the queue and return its refusal.
+
+        If it was served in the meantime, return that result instead.
+        """
         with self._lock:
             if waiter.future.done():
                 return waiter.future.result()
             self._waiters.remove(waiter)
-        detail = "no answer from the share's holder"
+        detail = "no reply from the holder of the share"
         return not_run(Reason.SHARE_UNAVAILABLE, retry_after_s=1.0, detail=detail)
 
     def due_asks(self, now: float) -> tuple[BucketAsk, ...]:
-        """Return the asks to send now."""
+        """Return the token requests to send now."""
         with self._lock:
             waiting = Counter(
                 bucket for waiter in self._waiters for bucket in waiter.buckets
@@ -60,7 +64,7 @@
             return self._stock.due_asks(waiting, now)
 
     def turn(self, bucket: str) -> int:
-        """Return which of the group's holders the last due ask is for."""
+        """Return the index of the group's holder for the last due token request."""
         with self._lock:
             return self._stock.turn(bucket)
 
@@ -73,7 +77,7 @@
         asked_at: float,
         now: float,
     ) -> None:
-        """Take in an answer and serve the waiters."""
+        """Add granted tokens to the stock and serve waiters."""
         needed_by_bucket = {ask.bucket: ask.needed for ask in asks}
         with self._lock:
             for grant in grants:
@@ -81,10 +85,10 @@
                 self._stock.granted(
                     grant, holder, needed=needed, asked_at=asked_at, now=now
                 )
-            self._serve(now)
+            self._serve_waiters(now)
 
-    def failed(self, asks: tuple[BucketAsk, ...], now: float) -> None:
-        """Take in that asks brought no answer."""
+    def requests_failed(self, asks: tuple[BucketAsk, ...], now: float) -> None:
+        """Record that token requests failed."""
         with self._lock:
             for ask in asks:
                 self._stock.ask_failed(ask.bucket, now)
@@ -92,16 +96,16 @@
     def due_closes(
         self, now: float, *, everything: bool = False
     ) -> dict[PeerAddress | None, list[GrantClose]]:
-        """Return the grants that this daemon is done with, by holder."""
+        """Return the grants to close, by holder; None is this daemon."""
         with self._lock:
             return self._stock.due_closes(now, everything=everything)
 
-    def _serve(self, now: float) -> None:
-        """Spend for the waiters in their order, with the lock held."""
+    def _serve_waiters(self, now: float) -> None:
+        """Serve waiters in order of arrival; the caller holds the lock."""
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
-            taken = self._stock.take(waiter.buckets, now)
-            if isinstance(taken, Missing):
+            acquired = self._stock.take(waiter.buckets, now)
+            if isinstance(acquired, Missing):
                 self._waiters.append(waiter)
             else:
-                waiter.future.set_result(taken)
+                waiter.future.set_result(acquired)
--- a/damaskbay/daemon/rates_task.py
+++ b/damaskbay/daemon/rates_task.py
@@ -1,4 +1,4 @@
-"""The task that asks for tokens, answers as a holder and keeps the ledgers."""
+"""Task that requests tokens, grants tokens as a holder and updates the ledgers."""
 
 import logging
 import random
@@ -47,40 +47,40 @@
 
 
 class Wake:
-    """Requests wait for tokens."""
+    """Message: a call waits for tokens; due token requests are sent at once."""
 
 
 class NewSet:
-    """A newer configuration set is in force."""
+    """Message: a newer configuration set is active."""
 
 
 class Leave:
-    """Give all tokens and shares back."""
+    """Message: release all tokens and shares."""
 
 
 @dataclass(frozen=True, slots=True)
-class _PeerAsk:
+class _PeerTokenRequest:
     peer: PeerIdentity
     ask: TokenAsk
     responder: Responder
 
 
 @dataclass(frozen=True, eq=False, slots=True)
-class _Responding:
-    """The key of an ask that came from a peer."""
+class _PeerReplyKey:
+    """Key of a peer's token request, under which the holder returns the reply."""
 
     responder: Responder
 
 
 @dataclass(frozen=True, slots=True)
-class _PeerCloses:
+class _PeerTokenCloses:
     peer: PeerIdentity
     closes: tuple[GrantClose, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class _Asked:
-    """An ask of this daemon; `holder` None is this daemon itself."""
+class _SentRequest:
+    """Token requests sent to one holder; `holder` None is this daemon."""
 
     holder: MemberView | None
     asks: tuple[BucketAsk, ...]
@@ -88,19 +88,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _AskDone:
-    asked: _Asked
+class _RequestDone:
+    sent: _SentRequest
     result: Any
 
 
 @dataclass(frozen=True, slots=True)
-class _CallDone:
+class _LedgerCallDone:
     call: LedgerCall
     result: CallResult
 
 
 class RateTask(Task):
-    """Owns the holders of this daemon; talks to peers and the platform."""
+    """
+    Exchanges tokens with peers and runs the holders of this daemon.
+
+    `left` is completed once all shares are released after `Leave`.
+    """
 
     def __init__(
         self,
@@ -116,7 +120,7 @@
     ) -> None:
         super().__init__("rates", tick_s=TICK_S, clock=clock)
         self.left: Future[None] = Future()
-        self._own_id = _process_id(identity)
+        self._own_process_id = _process_id(identity)
         self._store = store
         self._link = link
         self._membership = membership
@@ -124,11 +128,15 @@
         self._stock = stock
         self._options = options
         self._table = HolderTable(identity.instance, options.groups, options.holders)
-        self._node = HolderNode(self._own_id, options, random.Random(self._own_id))
-        self._calls = ThreadPoolExecutor(LEDGER_THREADS, thread_name_prefix="ledger")
-        self._leaving = False
-        link.register(TokenAsk, self._on_ask)
-        link.register(TokenCloses, self._on_closes)
+        self._node = HolderNode(
+            self._own_process_id, options, random.Random(self._own_process_id)
+        )
+        self._ledger_executor = ThreadPoolExecutor(
+            LEDGER_THREADS, thread_name_prefix="ledger"
+        )
+        self._releasing = False
+        link.register(TokenAsk, self._on_token_request)
+        link.register(TokenCloses, self._on_token_closes)
 
     def __enter__(self) -> Self:
         super().__enter__()
@@ -141,64 +149,64 @@
         traceback: TracebackType | None,
     ) -> None:
         super().__exit__(exc_type, exc, traceback)
-        self._calls.shutdown(cancel_futures=True)
+        self._ledger_executor.shutdown(cancel_futures=True)
 
     def handle(self, message: Any, now: float) -> None:
-        """Handle one message."""
+        """Handle one message, then send due token requests and ledger calls."""
         match message:
             case Wake():
                 pass
-            case _PeerAsk(peer, ask, responder):
+            case _PeerTokenRequest(peer, ask, responder):
                 daemon = _process_id(peer)
-                key = _Responding(responder)
-                answers = self._node.ask(key, daemon, ask, self._total_of, now)
-                self._deliver(answers, now)
-            case _PeerCloses(peer, closes):
+                key = _PeerReplyKey(responder)
+                replies = self._node.ask(key, daemon, ask, self._total_of, now)
+                self._deliver(replies, now)
+            case _PeerTokenCloses(peer, closes):
                 self._node.close(_process_id(peer), closes, now)
-            case _AskDone(asked, result):
-                self._on_answer(asked, result, now)
-            case _CallDone(call, result):
+            case _RequestDone(sent, result):
+                self._on_reply(sent, result, now)
+            case _LedgerCallDone(call, result):
                 self._deliver(self._node.call_done(call, result, now), now)
             case NewSet():
                 self._node.rescale(self._total_of, now)
             case Leave():
-                self._leaving = True
+                self._releasing = True
                 self._send_closes(now)
                 self._node.stop()
-        self._send_asks(now)
+        self._send_due_requests(now)
         self._start_calls(now)
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
-        self._learn_members()
+        """Send due closes, replies, token requests and ledger calls."""
+        self._update_members()
         self._send_closes(now)
         self._deliver(self._node.due_answers(now), now)
-        self._send_asks(now)
+        self._send_due_requests(now)
         self._start_calls(now)
         if self._node.stopped() and not self.left.done():
-            _LOGGER.info("rates: shares given back.")
+            _LOGGER.info("rates: shares released.")
             self.left.set_result(None)
 
     def holder_instance(self, bucket: str, now: float) -> str:
-        """Return the instance that this daemon would ask for a bucket's tokens."""
+        """Return the instance to which a token request of a bucket would be sent."""
         holder = self._table.holder(group_of(bucket, self._options.groups), now)
-        return holder.instance if holder else self._own_id.rpartition("/")[0]
+        return holder.instance if holder else self._own_process_id.rpartition("/")[0]
 
     def _total_of(self, bucket: str) -> Total | None:
         state = self._config.state()
         if state is None:
             return None
-        gone = Total(0, 0, state.config.version)
-        return total_of(state.config, bucket) or gone
+        removed_limit = Total(0, 0, state.config.version)
+        return total_of(state.config, bucket) or removed_limit
 
-    def _learn_members(self) -> None:
+    def _update_members(self) -> None:
         if self._table.update(self._membership.members()):
             self._node.set_roles(self._table.roles())
 
-    def _send_asks(self, now: float) -> None:
-        if self._leaving:
+    def _send_due_requests(self, now: float) -> None:
+        if self._releasing:
             return
-        self._learn_members()
+        self._update_members()
         asks_by_instance: dict[str, list[BucketAsk]] = {}
         members_by_instance: dict[str, MemberView | None] = {}
         for ask in self._stock.due_asks(now):
@@ -208,36 +216,40 @@
             members_by_instance[instance] = holder
             asks_by_instance.setdefault(instance, []).append(ask)
         for instance, asks in asks_by_instance.items():
-            self._send_ask(_Asked(members_by_instance[instance], tuple(asks), now))
-
-    def _send_ask(self, asked: _Asked) -> None:
-        ask = TokenAsk(asked.asks)
-        if asked.holder is None:
-            now = asked.asked_at
-            answers = self._node.ask(asked, self._own_id, ask, self._total_of, now)
-            self._deliver(answers, now)
+            self._send_request(
+                _SentRequest(members_by_instance[instance], tuple(asks), now)
+            )
+
+    def _send_request(self, sent: _SentRequest) -> None:
+        ask = TokenAsk(sent.asks)
+        if sent.holder is None:
+            now = sent.asked_at
+            replies = self._node.ask(
+                sent, self._own_process_id, ask, self._total_of, now
+            )
+            self._deliver(replies, now)
             return
-        future = self._link.request(asked.holder.address, ask, timeout_s=ASK_TIMEOUT_S)
-        future.add_done_callback(lambda done: self._post_answer(asked, done))
+        future = self._link.request(sent.holder.address, ask, timeout_s=ASK_TIMEOUT_S)
+        future.add_done_callback(lambda done: self._post_reply(sent, done))
 
-    def _post_answer(self, asked: _Asked, done: "Future[Any]") -> None:
+    def _post_reply(self, sent: _SentRequest, done: "Future[Any]") -> None:
         result = None if done.cancelled() else done.result()
-        self.post(_AskDone(asked, result))
+        self.post(_RequestDone(sent, result))
 
-    def _on_answer(self, asked: _Asked, result: Any, now: float) -> None:
+    def _on_reply(self, sent: _SentRequest, result: Any, now: float) -> None:
         if not isinstance(result, TokenGrants):
-            if asked.holder is not None:
-                self._note_failure(asked.holder.instance, result, now)
-            self._stock.failed(asked.asks, now)
+            if sent.holder is not None:
+                self._record_failure(sent.holder.instance, result, now)
+            self._stock.requests_failed(sent.asks, now)
             return
-        if asked.holder is not None:
-            self._table.answered(asked.holder.instance)
-        address = asked.holder.address if asked.holder else None
+        if sent.holder is not None:
+            self._table.answered(sent.holder.instance)
+        address = sent.holder.address if sent.holder else None
         self._stock.granted(
-            result.grants, asked.asks, address, asked_at=asked.asked_at, now=now
+            result.grants, sent.asks, address, asked_at=sent.asked_at, now=now
         )
 
-    def _note_failure(self, instance: str, result: Any, now: float) -> None:
+    def _record_failure(self, instance: str, result: Any, now: float) -> None:
         _LOGGER.warning("rates: no answer. %s", instance)
         problem = result.problem if isinstance(result, PeerFailure) else None
         if problem is PeerProblem.TIMEOUT:
@@ -245,16 +257,16 @@
         else:
             self._table.avoid(instance, now)
 
-    def _deliver(self, answers: list[Answer], now: float) -> None:
-        for answer in answers:
-            if isinstance(answer.key, _Asked):
-                self._on_answer(answer.key, answer.grants, now)
+    def _deliver(self, replies: list[Answer], now: float) -> None:
+        for answer in replies:
+            if isinstance(answer.key, _SentRequest):
+                self._on_reply(answer.key, answer.grants, now)
             else:
-                assert isinstance(answer.key, _Responding)
+                assert isinstance(answer.key, _PeerReplyKey)
                 answer.key.responder.answer(answer.grants)
 
     def _send_closes(self, now: float) -> None:
-        closes_by_holder = self._stock.due_closes(now, everything=self._leaving)
+        closes_by_holder = self._stock.due_closes(now, everything=self._releasing)
         for holder, closes in closes_by_holder.items():
             self._send_close(holder, tuple(closes), now)
 
@@ -262,29 +274,31 @@
         self, holder: PeerAddress | None, closes: tuple[GrantClose, ...], now: float
     ) -> None:
         if holder is None:
-            self._node.close(self._own_id, closes, now)
+            self._node.close(self._own_process_id, closes, now)
         else:
             self._link.send(holder, TokenCloses(closes))
 
     def _start_calls(self, now: float) -> None:
         for call in self._node.calls(self._total_of, now):
-            self._calls.submit(self._run_call, call)
+            self._ledger_executor.submit(self._run_ledger_call, call)
 
-    def _run_call(self, call: LedgerCall) -> None:
+    def _run_ledger_call(self, call: LedgerCall) -> None:
         try:
             result = self._store.run(call)
         except Exception:
-            _LOGGER.exception("rates: platform call failed.")
+            _LOGGER.exception("rates: ledger call failed.")
             result = Unresolved()
-        self._inbox.put(_CallDone(call, result))
+        self._inbox.put(_LedgerCallDone(call, result))
 
-    def _on_ask(self, peer: PeerIdentity, message: Any, responder: Responder) -> None:
-        self.post(_PeerAsk(peer, message, responder))
+    def _on_token_request(
+        self, peer: PeerIdentity, message: Any, responder: Responder
+    ) -> None:
+        self.post(_PeerTokenRequest(peer, message, responder))
 
-    def _on_closes(
+    def _on_token_closes(
         self, peer: PeerIdentity, message: Any, responder: Responder
     ) -> None:
-        self.post(_PeerCloses(peer, message.closes))
+        self.post(_PeerTokenCloses(peer, message.closes))
 
 
 def _process_id(identity: PeerIdentity) -> str:
--- a/tests/daemon/common.py
+++ b/tests/daemon/common.py
@@ -1,4 +1,4 @@
-"""A request path of several daemons in one process, over a link that can fail."""
+"""Request paths of several daemons in one process, on a link with injected faults."""
 
 import random
 import threading
@@ -53,11 +53,11 @@
 DOMAIN = "domain-a"
 POOL = "campo"
 SLOTS = 16
-WAIT_S = 10.0
+TIMEOUT_S = 10.0
 
 
 class Fault(Enum):
-    """What happens to the next message on the link."""
+    """Fault of the next message on the link."""
 
     NONE = "none"
     NOT_SENT = "not_sent"
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class Network:
-    """Connects links by address; faults are taken from the front of the list."""
+    """Connects links by address; each request uses up the first entry of `faults`."""
 
     handlers_by_address: dict[PeerAddress, dict[type[Any], Handler]] = field(
         default_factory=dict
@@ -75,21 +75,21 @@
     faults: list[Fault] = field(default_factory=list)
 
     def next_fault(self) -> Fault:
-        """Return what happens to the next message."""
+        """Remove and return the fault of the next message."""
         return self.faults.pop(0) if self.faults else Fault.NONE
 
 
 class _FakeResponder:
-    def __init__(self, future: "Future[Any]", *, lose: bool) -> None:
+    def __init__(self, future: "Future[Any]", *, lose_reply: bool) -> None:
         self._future = future
-        self._lose = lose
+        self._lose_reply = lose_reply
         self._lock = threading.Lock()
 
     def answer(self, message: Any) -> None:
         with self._lock:
             if self._future.done():
                 return
-            if self._lose:
+            if self._lose_reply:
                 message = PeerFailure(PeerProblem.LOST)
             self._future.set_result(message)
 
@@ -100,7 +100,7 @@
 
 
 class FakeLink:
-    """One daemon's end of the network (port: PeerLink)."""
+    """Link of one daemon to the network (port: PeerLink)."""
 
     def __init__(
         self, identity: PeerIdentity, address: PeerAddress, network: Network
@@ -128,20 +128,22 @@
         if fault is Fault.LOST_BEFORE_HANDLING:
             future.set_result(PeerFailure(PeerProblem.LOST))
             return future
-        responder = _FakeResponder(future, lose=fault is Fault.LOST_AFTER_HANDLING)
+        responder = _FakeResponder(
+            future, lose_reply=fault is Fault.LOST_AFTER_HANDLING
+        )
         handlers[type(message)](self._identity, message, responder)
         return future
 
 
 class FakeBackend:
-    """A backend server that counts runs and fails where a test wants it to."""
+    """Backend server that counts runs and returns the outcomes set by a test."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.runs_by_target: dict[str, int] = {}
         self.outcomes: list[Answer | Refusal] = []
         self.work_s = 0.0
-        self.during: Callable[[Request, str], None] | None = None
+        self.on_call: Callable[[Request, str], None] | None = None
         self._lock = threading.Lock()
 
     def call(
@@ -152,15 +154,15 @@
         deadline: float,
         cancellation: Cancellation,
     ) -> Answer | Refusal:
-        """Run once, unless the next outcome says that it did not."""
+        """Count a run, unless the next outcome is a refusal that did not run."""
         with self._lock:
             outcome = self.outcomes.pop(0) if self.outcomes else None
             if isinstance(outcome, Refusal) and outcome.not_run:
                 return outcome
             count = self.runs_by_target.get(request.target, 0) + 1
             self.runs_by_target[request.target] = count
-        if self.during is not None:
-            self.during(request, call_token)
+        if self.on_call is not None:
+            self.on_call(request, call_token)
         if self.work_s:
             ended = threading.Event()
             cancellation.on_cancel(ended.set)
@@ -170,7 +172,7 @@
 
 
 class FakeMembership:
-    """Knows all servers at once (port: Membership)."""
+    """Membership whose entries a test sets directly (port: Membership)."""
 
     def __init__(self) -> None:
         self.servers_by_instance: dict[str, ServerView] = {}
@@ -199,7 +201,7 @@
 
 
 class FakeConfig:
-    """Holds a set that tests change (port: ConfigSource)."""
+    """Configuration that a test can replace (port: ConfigSource)."""
 
     def __init__(self, config: ConfigSet) -> None:
         self.config = config
@@ -215,7 +217,7 @@
 
 
 class FakeRates:
-    """Admits all unless a test gives a refusal (port: RateGate)."""
+    """Admits every call unless a test sets `refusal` (port: RateGate)."""
 
     def __init__(self) -> None:
         self.refusal: Refusal | None = None
@@ -228,8 +230,8 @@
         return self.refusal
 
 
-class Observed:
-    """Remembers ended calls (port: CallObserver)."""
+class FakeObserver:
+    """Records ended calls (port: CallObserver)."""
 
     def __init__(self) -> None:
         self.ended: list[EndedCall] = []
@@ -242,7 +244,7 @@
 
 
 def sample_config() -> ConfigSet:
-    """Return a set with an idempotent, a non-idempotent and an open route."""
+    """Return a configuration with idempotent, non-idempotent and open routes."""
 
     def route(name: str, *, idempotent: bool, access: Access = Access.KEYED) -> Route:
         return Route(
@@ -253,7 +255,7 @@
             POOL,
             access,
             idempotent,
-            WAIT_S,
+            TIMEOUT_S,
             "high" if not idempotent else "low",
             2 if idempotent else 0,
         )
@@ -283,7 +285,7 @@
     backend: FakeBackend
     gate: AdmissionGate
     calls: CallRegistry
-    observed: Observed
+    observed: FakeObserver
 
     def call(
         self,
@@ -297,7 +299,7 @@
         deadline_s: float | None = None,
         cancellation: Cancellation | None = None,
     ) -> Answer | Refusal:
-        """Serve one call as if a caller had sent it."""
+        """Serve one call as if received from a caller; return its outcome."""
         incoming = IncomingCall(
             Request(method, "campo", target),
             key=key,
@@ -311,8 +313,8 @@
 
 
 @dataclass(slots=True)
-class Path:
-    """Several daemons of one failure domain that share fakes."""
+class RequestPath:
+    """Request paths of the daemons of one failure domain, with shared fakes."""
 
     network: Network
     membership: FakeMembership
@@ -322,7 +324,7 @@
     daemons_by_instance: dict[str, PathDaemon] = field(default_factory=dict)
 
     def start(self, instance: str, *, incarnation: int = 1) -> PathDaemon:
-        """Start a daemon; one of the same name is replaced, as after a crash."""
+        """Start a daemon, or replace a running one as a restart after a crash does."""
         port = 1000 + sum(map(ord, instance))
         address = PeerAddress("127.0.0.1", port)
         identity = PeerIdentity(instance, incarnation, DOMAIN)
@@ -337,7 +339,7 @@
             POOL,
             ServerState.READY,
             SLOTS,
-            ready_at=monotonic_s() - WAIT_S,
+            ready_at=monotonic_s() - TIMEOUT_S,
         )
         return daemon
 
@@ -348,7 +350,7 @@
         rng = random.Random(1)
         rules = CurrentRules(self.config)
         backend = FakeBackend(identity.instance)
-        observed = Observed()
+        observed = FakeObserver()
         gate = AdmissionGate(
             AdmissionOptions(slots=SLOTS), rng=rng, still_allowed=rules.still_allowed
         )
@@ -411,7 +413,7 @@
         return PathDaemon(identity, ingress, backend, gate, calls, observed)
 
     def runs(self, target: str) -> int:
-        """Return how often a target ran on any backend server."""
+        """Return the number of runs of a target on all backend servers."""
         return sum(
             daemon.backend.runs_by_target.get(target, 0)
             for daemon in self.daemons_by_instance.values()
@@ -419,10 +421,10 @@
 
 
 @contextmanager
-def request_path(*instances: str) -> Iterator[Path]:
-    """Give the request path of some daemons."""
+def request_path(*instances: str) -> Iterator[RequestPath]:
+    """Run the request paths of the given daemons."""
     with ThreadPoolExecutor(32) as executor:
-        path = Path(
+        path = RequestPath(
             Network(),
             FakeMembership(),
             FakeConfig(sample_config()),
--- a/tests/daemon/fake_link.py
+++ b/tests/daemon/fake_link.py
@@ -1,4 +1,4 @@
-"""Peer streams within one process: typed messages, packed on the way."""
+"""Peer links within one process that serialize each message."""
 
 from collections.abc import Callable
 from concurrent.futures import Future, ThreadPoolExecutor
@@ -26,12 +26,12 @@
             self.future.set_result(unpack(pack(message), max_bytes=MAX_BYTES))
 
     def on_cancel(self, callback: Callable[[], None]) -> None:
-        """Nothing is ever cancelled here."""
+        """Ignore the callback; requests are never cancelled."""
 
 
 @dataclass
 class Switchboard:
-    """Where links find each other; `cut` tells which pairs do not."""
+    """Connects links by address; `cut` returns whether a pair is partitioned."""
 
     link_by_address: dict[PeerAddress, "FakeLink"] = field(default_factory=dict)
     cut: Callable[[PeerAddress, PeerAddress], bool] = lambda _source, _target: False
@@ -41,7 +41,7 @@
 
 
 class FakeLink:
-    """Implements ports.peer.PeerLink."""
+    """Link of one daemon; records each sent message (port: PeerLink)."""
 
     def __init__(
         self, board: Switchboard, address: PeerAddress, identity: PeerIdentity
@@ -56,7 +56,7 @@
     def request(
         self, peer: PeerAddress, message: Any, *, timeout_s: float
     ) -> "Future[Any]":
-        """Hand a message to its handler on another thread."""
+        """Deliver a message to the peer's handler on another thread."""
         future: Future[Any] = Future()
         self.sent.append((peer, message))
         target = self._board.link_by_address.get(peer)
@@ -69,9 +69,9 @@
         return future
 
     def send(self, peer: PeerAddress, message: Any) -> None:
-        """Hand over a message, best effort."""
+        """Deliver a message without waiting for a reply."""
         self.request(peer, message, timeout_s=1.0)
 
     def register(self, message_type: type[Any], handler: Handler) -> None:
-        """Handle messages of one type."""
+        """Register the handler of a message type."""
         self._handler_by_type[message_type] = handler
--- a/tests/daemon/rates_common.py
+++ b/tests/daemon/rates_common.py
@@ -1,4 +1,4 @@
-"""A few rate services over one platform stand-in and links inside the process."""
+"""Rate services of several daemons in one process, on one in-memory platform."""
 
 import threading
 from collections.abc import Callable, Iterator
@@ -22,11 +22,11 @@
 from damaskbay.ports.platform import Platform
 from damaskbay.stand_ins.memory_platform import MemoryPlatform
 
-LONG_S = 30.0
+TIMEOUT_S = 30.0
 
 
-def small_set(version: int = 1, rate: float = 10.0, burst: int = 5) -> ConfigSet:
-    """Return a set with one workspace and one limit of each scope."""
+def sample_config(version: int = 1, rate: float = 10.0, burst: int = 5) -> ConfigSet:
+    """Return a configuration with one workspace and one limit of each scope."""
     return ConfigSet(
         version,
         "d",
@@ -39,71 +39,71 @@
 
 
 class FakeConfig:
-    """Holds a set."""
+    """Configuration source with a replaceable configuration set."""
 
     def __init__(self, config: ConfigSet) -> None:
         self._config = config
         self._callbacks: list[Callable[[ConfigSet], None]] = []
 
     def state(self) -> ConfigState | None:
-        """Return the set in force."""
+        """Return the active configuration set."""
         return ConfigState(self._config, 0.0)
 
     def subscribe(self, callback: Callable[[ConfigSet], None]) -> None:
-        """Call back on a newer set."""
+        """Register a callback for newer configuration sets."""
         self._callbacks.append(callback)
 
-    def take(self, config: ConfigSet) -> None:
-        """Put a newer set in force."""
+    def activate(self, config: ConfigSet) -> None:
+        """Activate a configuration set and notify subscribers."""
         self._config = config
         for callback in self._callbacks:
             callback(config)
 
 
 class FakeResponder:
-    """Sets the asker's future."""
+    """Completes the future of a request with its first reply."""
 
     def __init__(self) -> None:
         self.future: Future[Any] = Future()
 
     def answer(self, message: Any) -> None:
-        """Answer once."""
+        """Set the reply; later replies are ignored."""
         if not self.future.done():
             self.future.set_result(message)
 
     def on_cancel(self, callback: Callable[[], None]) -> None:
-        """Nobody cancels here."""
+        """Ignore the callback; requests are never cancelled."""
 
 
 class FakeLink(PeerLink):
-    """Calls the other daemon's handlers; `cut` addresses lose everything."""
+    """Calls the peer's handlers directly; messages to `unreachable` ones are lost."""
 
     def __init__(self, identity: PeerIdentity, links: dict[PeerAddress, Any]) -> None:
         self.identity = identity
         self.links_by_address = links
         self.handlers_by_type: dict[type[Any], Handler] = {}
-        self.cut: set[PeerAddress] = set()
+        self.unreachable: set[PeerAddress] = set()
         self.requests = 0
 
     def request(
         self, peer: PeerAddress, message: Any, *, timeout_s: float
     ) -> "Future[Any]":
-        """Deliver at once, or fail as lost."""
+        """Deliver a message synchronously; an unreachable peer gives a failure."""
         self.requests += 1
         responder = FakeResponder()
-        if peer in self.cut:
+        if peer in self.unreachable:
             responder.answer(PeerFailure(PeerProblem.LOST))
         else:
             self._deliver(peer, message, responder)
         return responder.future
 
     def send(self, peer: PeerAddress, message: Any) -> None:
-        """Deliver at once unless cut."""
-        if peer not in self.cut:
+        """Deliver a message synchronously unless the peer is unreachable."""
+        if peer not in self.unreachable:
             self._deliver(peer, message, FakeResponder())
 
     def register(self, message_type: type[Any], handler: Handler) -> None:
-        """Handle messages of one type."""
+        """Register the handler of a message type."""
         self.handlers_by_type[message_type] = handler
 
     def _deliver(self, peer: PeerAddress, message: Any, responder: Any) -> None:
@@ -112,19 +112,19 @@
 
 
 class FakeMembership:
-    """A fixed list of daemons."""
+    """Membership with a fixed list of daemons."""
 
     def __init__(self, members: tuple[MemberView, ...]) -> None:
         self.all = members
 
     def members(self) -> tuple[MemberView, ...]:
-        """Return all daemons of the domain."""
+        """Return all daemons of the failure domain."""
         return self.all
 
 
 @dataclass
 class Fleet:
-    """Services by instance name, `<domain><number>`."""
+    """Rate services by instance name, `<domain><number>`."""
 
     platform: MemoryPlatform
     config: FakeConfig
@@ -133,12 +133,12 @@
     clocks_by_instance: dict[str, Callable[[], float]] = field(default_factory=dict)
 
     def admit(self, instance: str, limits: tuple[str, ...] = ()) -> bool:
-        """Send one request at a daemon and tell whether it was admitted."""
+        """Request admission of one call at a daemon; return whether it was admitted."""
         service = self.services_by_instance[instance]
-        return service.acquire("small", limits, deadline=LONG_S, now=0.0) is None
+        return service.acquire("small", limits, deadline=TIMEOUT_S, now=0.0) is None
 
-    def burst(self, instance: str, count: int) -> int:
-        """Send requests one after the other and return how many were admitted."""
+    def count_admitted(self, instance: str, count: int) -> int:
+        """Request admission of calls one by one; return the number admitted."""
         return sum(self.admit(instance) for _ in range(count))
 
 
@@ -150,9 +150,9 @@
     options: ShareOptions | None = None,
     platform: Platform | None = None,
 ) -> Iterator[Fleet]:
-    """Run daemons in each failure domain."""
+    """Run the given number of rate services in each failure domain."""
     store = MemoryPlatform()
-    result = Fleet(store, FakeConfig(config or small_set()))
+    result = Fleet(store, FakeConfig(config or sample_config()))
     links: dict[PeerAddress, Any] = {}
     with ExitStack() as stack:
         for domain, count in domains.items():
@@ -180,8 +180,8 @@
         store.inject(outage=False)
 
 
-def wait_until(condition: Callable[[], bool], timeout_s: float = LONG_S) -> None:
-    """Wait for a condition, checked every few milliseconds."""
+def wait_until(condition: Callable[[], bool], timeout_s: float = TIMEOUT_S) -> None:
+    """Poll a condition until it is true; raise AssertionError after the timeout."""
     pause = threading.Event()
     for _ in range(int(timeout_s / 0.01)):
         if condition():
--- a/tests/daemon/test_admission.py
+++ b/tests/daemon/test_admission.py
@@ -16,8 +16,8 @@
 SLOTS = 3
 
 
-class Clock:
-    """A clock that is set by hand, in seconds."""
+class ManualClock:
+    """Manually set clock, in seconds."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -27,23 +27,23 @@
         return self.now
 
 
-def allow(context: CallContext) -> Refusal | None:
+def allow_all(context: CallContext) -> Refusal | None:
     """Allow every call."""
     return None
 
 
 def make_gate(
-    slots: int, *, clock: Clock, still_allowed: StillAllowed = allow
+    slots: int, *, clock: ManualClock, still_allowed: StillAllowed = allow_all
 ) -> AdmissionGate:
-    """Return a gate with a fixed limit."""
+    """Return a gate with a fixed limit of concurrent calls."""
     options = AdmissionOptions(slots, limit=lambda slots, now: FixedLimit(slots))
     return AdmissionGate(
         options, rng=Random(1), still_allowed=still_allowed, clock=clock
     )
 
 
-class Calls:
-    """Submits calls and keeps what was called back."""
+class CallRecorder:
+    """Submits calls and records their callbacks."""
 
     def __init__(self, gate: AdmissionGate) -> None:
         self.gate = gate
@@ -62,7 +62,7 @@
 
 
 def test_withdrawn_key_is_refused_when_its_turn_comes() -> None:
-    """Queued calls of a withdrawn key never start, and the slot goes on."""
+    """Queued calls of a withdrawn key never start; their slot goes to the next."""
     withdrawn: set[str] = set()
 
     def still_allowed(context: CallContext) -> Refusal | None:
@@ -70,8 +70,8 @@
             return not_run(Reason.KEY_WITHDRAWN)
         return None
 
-    clock = Clock()
-    calls = Calls(make_gate(600, clock=clock, still_allowed=still_allowed))
+    clock = ManualClock()
+    calls = CallRecorder(make_gate(600, clock=clock, still_allowed=still_allowed))
     tickets = [calls.submit(number, make_context()) for number in range(600)]
     for number in range(600, 1100):
         calls.submit(number, make_context(workspace="gone"))
@@ -86,7 +86,7 @@
 
 def test_cancelled_call_is_never_called_back() -> None:
     """A call that was cancelled while it waited takes no slot."""
-    calls = Calls(make_gate(1, clock=Clock()))
+    calls = CallRecorder(make_gate(1, clock=ManualClock()))
     first = calls.submit(1, make_context())
     second = calls.submit(2, make_context())
     assert second.cancel()
@@ -100,8 +100,8 @@
 
 def test_waiting_calls_expire() -> None:
     """A call that waits past its deadline is refused as not run."""
-    clock = Clock()
-    calls = Calls(make_gate(1, clock=clock))
+    clock = ManualClock()
+    calls = CallRecorder(make_gate(1, clock=clock))
     calls.submit(1, make_context())
     calls.submit(2, make_context(deadline=1.0))
     clock.now = 1.5
@@ -112,9 +112,9 @@
 
 
 def test_callback_may_use_the_gate_and_may_fail() -> None:
-    """Callbacks run outside the lock; one that raises harms no other."""
-    gate = make_gate(1, clock=Clock())
-    calls = Calls(gate)
+    """Callbacks run outside the lock; one that raises does not affect others."""
+    gate = make_gate(1, clock=ManualClock())
+    calls = CallRecorder(gate)
     levels: list[int] = []
 
     def start() -> None:
@@ -132,20 +132,20 @@
 
 
 def test_many_threads_never_exceed_the_slots() -> None:
-    """Each call is called back once, and no more run than there are slots."""
-    gate = make_gate(SLOTS, clock=Clock())
+    """Each call gets one callback, and never more calls run than slots exist."""
+    gate = make_gate(SLOTS, clock=ManualClock())
     lock = Lock()
     running: list[int] = []
-    most: list[int] = []
+    running_counts: list[int] = []
     ended: list[int] = []
 
     def start(number: int) -> None:
         with lock:
             running.append(number)
-            most.append(len(running))
+            running_counts.append(len(running))
 
     def finish(number: int, ticket: Ticket, refused: list[Refusal]) -> None:
-        """End a call that runs, or give up one that waits."""
+        """Finish a running call or cancel a waiting one."""
         while not refused and not ticket.cancel():
             with lock:
                 if number not in running:
@@ -154,7 +154,7 @@
             ticket.finish(Sample(0.001))
             return
 
-    def one(number: int) -> None:
+    def submit_and_finish(number: int) -> None:
         refused: list[Refusal] = []
         ticket = gate.submit(
             make_context(),
@@ -167,9 +167,9 @@
         ended.append(number)
 
     with ThreadPoolExecutor(8) as executor:
-        list(executor.map(one, range(CALLS)))
+        list(executor.map(submit_and_finish, range(CALLS)))
     assert sorted(ended) == list(range(CALLS))
-    assert max(most) <= SLOTS
+    assert max(running_counts) <= SLOTS
     assert gate.running() == 0
 
 
--- a/tests/daemon/test_rates.py
+++ b/tests/daemon/test_rates.py
@@ -5,13 +5,13 @@
 
 from damaskbay.core.outcome import Reason
 from tests.common import function_suite
-from tests.daemon.rates_common import fleet, small_set, wait_until
+from tests.daemon.rates_common import fleet, sample_config, wait_until
 
-SLOW = small_set(rate=0.01, burst=5)
+SLOW = sample_config(rate=0.01, burst=5)
 
 
 def test_two_domains_share_one_burst() -> None:
-    """Daemons of all domains together admit the burst once."""
+    """The daemons of all failure domains together admit one burst."""
     with fleet({"east": 3, "west": 2}, config=SLOW) as daemons:
         names = ["east0", "east1", "east2", "west0", "west1"]
         admitted = sum(daemons.admit(name) for name in names * 4)
@@ -19,7 +19,7 @@
 
 
 def test_requests_at_once_share_one_burst() -> None:
-    """Threads of several daemons at the same moment admit the burst once."""
+    """Concurrent requests at several daemons together admit at most one burst."""
     with fleet({"east": 2, "west": 2}, config=SLOW) as daemons:
         names = ["east0", "east1", "west0", "west1"] * 8
         with ThreadPoolExecutor(16) as pool:
@@ -28,7 +28,7 @@
 
 
 def test_limits_are_all_or_nothing() -> None:
-    """A request that a limit refuses spends nothing of the workspace's bucket."""
+    """A call refused by a limit spends no token of the workspace's bucket."""
     with fleet({"east": 1}, config=SLOW) as daemons:
         results = [daemons.admit("east0", ("slow",)) for _ in range(6)]
         assert sum(results) == 2
@@ -37,7 +37,7 @@
 
 
 def test_unknown_workspace_gets_nothing() -> None:
-    """A workspace that the set does not know is refused as not run."""
+    """A call of a workspace missing from the configuration is refused as not run."""
     with fleet({"east": 1}) as daemons:
         service = daemons.services_by_instance["east0"]
         refusal = service.acquire("nobody", (), deadline=9, now=1)
@@ -47,17 +47,17 @@
 
 
 def test_withdrawn_workspace_gets_nothing() -> None:
-    """A workspace that a newer set leaves out is refused at once."""
+    """A workspace removed by a newer configuration set is refused immediately."""
     with fleet({"east": 1}) as daemons:
         assert daemons.admit("east0")
-        daemons.config.take(small_set(2).__class__(2, "e"))
+        daemons.config.activate(sample_config(2).__class__(2, "e"))
         assert not daemons.admit("east0")
 
 
 def test_over_the_rate_is_said_so() -> None:
-    """A refusal for the rate is not run and says when to come again."""
+    """A refusal for an exceeded rate is not run and has a retry-after time."""
     with fleet({"east": 1}, config=SLOW) as daemons:
-        daemons.burst("east0", 5)
+        daemons.count_admitted("east0", 5)
         service = daemons.services_by_instance["east0"]
         refusal = service.acquire("small", (), deadline=9, now=0)
     assert refusal is not None
@@ -67,7 +67,7 @@
 
 
 def test_platform_out_from_the_start_is_share_unavailable() -> None:
-    """Without any share nothing is admitted, and the reason tells why."""
+    """Without a share calls are refused with the reason SHARE_UNAVAILABLE."""
     with fleet({"east": 1}) as daemons:
         daemons.platform.inject(outage=True)
         service = daemons.services_by_instance["east0"]
@@ -78,15 +78,15 @@
 
 
 def test_outage_goes_on_with_the_share() -> None:
-    """A domain that holds a share serves on while the platform is out."""
-    with fleet({"east": 1}, config=small_set(rate=500.0, burst=50)) as daemons:
-        assert daemons.burst("east0", 10) == 10
+    """A failure domain with a share admits calls during a platform outage."""
+    with fleet({"east": 1}, config=sample_config(rate=500.0, burst=50)) as daemons:
+        assert daemons.count_admitted("east0", 10) == 10
         daemons.platform.inject(outage=True)
-        assert daemons.burst("east0", 5) >= 1
+        assert daemons.count_admitted("east0", 5) >= 1
 
 
 def test_lost_answers_grant_nothing_twice() -> None:
-    """Answers that are lost after the write took effect double no token."""
+    """A write whose reply is lost, but which took effect, grants no token twice."""
     with fleet({"east": 1, "west": 1}, config=SLOW) as daemons:
         daemons.platform.inject(lose_answers=2)
         names = ["east0", "west0"] * 10
@@ -98,22 +98,22 @@
 
 
 def test_stop_hands_the_share_on() -> None:
-    """After a planned stop another domain spends what was left, and no more."""
+    """After a graceful stop another domain spends the remaining tokens, no more."""
     with fleet({"west": 1}, config=SLOW) as west:
         with fleet({"east": 1}, config=SLOW, platform=west.platform) as east:
-            assert east.burst("east0", 3) == 3
+            assert east.count_admitted("east0", 3) == 3
         wait_until(lambda: west.admit("west0"))
-        assert 1 + west.burst("west0", 6) == 2
+        assert 1 + west.count_admitted("west0", 6) == 2
 
 
 def test_other_daemon_takes_over_when_the_holder_is_lost() -> None:
-    """A holder that does not answer is replaced by the next in rank."""
-    with fleet({"east": 3}, config=small_set(rate=100.0, burst=90)) as daemons:
+    """An unresponsive holder is replaced by the next in rank."""
+    with fleet({"east": 3}, config=sample_config(rate=100.0, burst=90)) as daemons:
         for name, link in daemons.links_by_instance.items():
-            asked = link.requests
+            requests_before = link.requests
             assert daemons.admit(name)
-            if link.requests > asked:
-                link.cut.update(link.links_by_address)
+            if link.requests > requests_before:
+                link.unreachable.update(link.links_by_address)
                 wait_until(lambda name=name: daemons.admit(name))  # type: ignore[misc]
 
 
--- a/tests/daemon/test_request_path.py
+++ b/tests/daemon/test_request_path.py
@@ -1,4 +1,4 @@
-"""Tests of the request path: what is refused, what runs, and how often."""
+"""Tests of the request path: refusals, runs and retries."""
 
 import threading
 import time
@@ -17,7 +17,7 @@
 from tests.common import function_suite
 from tests.daemon.common import (
     SLOTS,
-    WAIT_S,
+    TIMEOUT_S,
     Fault,
     PathDaemon,
     request_path,
@@ -40,12 +40,12 @@
 )
 
 
-def _id(daemon: PathDaemon) -> str:
+def _issue_request_id(daemon: PathDaemon) -> str:
     return daemon.ingress.issue_request_ids(1).request_ids[0]
 
 
 def test_an_answer_comes_from_the_pool() -> None:
-    """A call entering anywhere is run by some backend server of the pool."""
+    """A call received by any daemon runs on a backend server of the pool."""
     with request_path("a", "b") as path:
         outcome = path.daemons_by_instance["a"].call("/read/1")
         assert isinstance(outcome, Answer)
@@ -53,7 +53,7 @@
 
 
 def test_refused_before_sending_is_not_run_and_runs_nowhere() -> None:
-    """No key, unknown key, no route, over the rate: nothing reaches a backend."""
+    """Calls refused for key, route, token or rate do not reach a backend server."""
     with request_path("a") as path:
         daemon = path.daemons_by_instance["a"]
         cases = [
@@ -74,7 +74,7 @@
 
 
 def test_open_routes_cost_no_workspace_anything() -> None:
-    """An open route runs without a key and spends nobody's rate."""
+    """A call of an open route runs without a key and spends no workspace's tokens."""
     with request_path("a") as path:
         outcome = path.daemons_by_instance["a"].call("/open/1", key=None)
         assert isinstance(outcome, Answer)
@@ -94,9 +94,9 @@
     entries: list[str],
     crash: bool,
 ) -> None:
-    """Whatever fails, wherever repeats enter, whoever restarts: one run at most."""
+    """A request id runs at most once despite faults, retries and a restart."""
     with request_path("a", "b", "c") as path:
-        request_id = _id(path.daemons_by_instance["a"])
+        request_id = _issue_request_id(path.daemons_by_instance["a"])
         path.network.faults = list(faults)
         for daemon in path.daemons_by_instance.values():
             daemon.backend.outcomes = list(outcomes)
@@ -120,7 +120,7 @@
 def test_not_run_is_true_and_non_idempotent_is_sent_once(
     faults: list[Fault], outcomes: list[Answer | Refusal]
 ) -> None:
-    """Without an id too: one send that may run; `not_run` only when none did."""
+    """A non-idempotent call without an id runs at most once; never if `not_run`."""
     with request_path("a", "b", "c") as path:
         path.network.faults = list(faults)
         for daemon in path.daemons_by_instance.values():
@@ -151,9 +151,9 @@
 
 
 def test_concurrent_repeats_run_once() -> None:
-    """Repeats that arrive while the first one runs are told so."""
+    """Retries that arrive while the first attempt runs are refused as unknown."""
     with request_path("a", "b") as path:
-        request_id = _id(path.daemons_by_instance["a"])
+        request_id = _issue_request_id(path.daemons_by_instance["a"])
         for daemon in path.daemons_by_instance.values():
             daemon.backend.work_s = 0.05
 
@@ -170,10 +170,14 @@
 
 
 def test_a_refused_repeat_never_claims_that_nothing_ran() -> None:
-    """Rates, drains and missing keys before the owner's word leave it open."""
+    """
+    A retry refused before it reaches the owner has the outcome `unknown`.
+
+    The reasons are an exceeded rate, a missing key and a draining daemon.
+    """
     with request_path("a", "b") as path:
         a, b = (path.daemons_by_instance[name] for name in "ab")
-        request_id, fresh = _id(a), _id(a)
+        request_id, fresh = _issue_request_id(a), _issue_request_id(a)
         first = a.call("/file/1", request_id=request_id)
         assert isinstance(first, Answer)
         path.rates.refusal = not_run(Reason.RATE_EXCEEDED)
@@ -192,15 +196,15 @@
 
 
 def test_withdrawn_key_stops_a_queued_call() -> None:
-    """A call that waits for a slot when its key is withdrawn never runs."""
+    """A queued call whose key is withdrawn never runs."""
     with request_path("a") as path:
         daemon = path.daemons_by_instance["a"]
         release = threading.Event()
 
-        def during(request: Request, token: str) -> None:
-            release.wait(WAIT_S)
+        def on_call(request: Request, token: str) -> None:
+            release.wait(TIMEOUT_S)
 
-        daemon.backend.during = during
+        daemon.backend.on_call = on_call
         with ThreadPoolExecutor(SLOTS + 1) as callers:
             running = []
             while daemon.gate.has_room():
@@ -211,34 +215,34 @@
             config = path.config.config
             path.config.config = replace(config, version=2, keys_by_digest={})
             release.set()
-            outcome = waiting.result(WAIT_S)
+            outcome = waiting.result(TIMEOUT_S)
             for future in running:
-                future.result(WAIT_S)
+                future.result(TIMEOUT_S)
         assert isinstance(outcome, Refusal)
         assert outcome.not_run
         assert path.runs("/read/wait") == 0
 
 
 def _wait_until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition; the caller's assertions tell where it never came."""
-    limit = monotonic_s() + WAIT_S
+    """Poll a condition until a timeout; the caller's assertions detect a timeout."""
+    limit = monotonic_s() + TIMEOUT_S
     while not condition() and monotonic_s() < limit:
         time.sleep(POLL_S)
 
 
 def test_nested_call_needs_no_key_and_inherits() -> None:
-    """A backend server calls on with its call token, and only while it runs."""
+    """A backend server makes nested calls with its token while its call runs."""
     with request_path("a") as path:
         daemon = path.daemons_by_instance["a"]
         outcomes: list[Answer | Refusal] = []
         tokens: list[str] = []
 
-        def during(request: Request, token: str) -> None:
+        def on_call(request: Request, token: str) -> None:
             if request.target == "/read/outer":
                 tokens.append(token)
                 outcomes.append(daemon.call("/read/inner", key=None, call_token=token))
 
-        daemon.backend.during = during
+        daemon.backend.on_call = on_call
         assert isinstance(daemon.call("/read/outer"), Answer)
         assert isinstance(outcomes[0], Answer), outcomes
         assert path.rates.acquired == ["w"]
@@ -248,19 +252,19 @@
 
 
 def test_a_call_into_its_own_pool_does_not_wait_for_itself() -> None:
-    """As many calls as may run at once, each calling its own pool, all end."""
+    """Calls that fill the concurrency limit and call their own pool all finish."""
     with request_path("a") as path:
         daemon = path.daemons_by_instance["a"]
         inside = threading.Barrier(START_LIMIT)
 
-        def during(request: Request, token: str) -> None:
+        def on_call(request: Request, token: str) -> None:
             if request.target != "/read/outer":
                 return
-            inside.wait(WAIT_S)
+            inside.wait(TIMEOUT_S)
             inner = daemon.call("/read/inner", key=None, call_token=token)
             assert isinstance(inner, Answer), inner
 
-        daemon.backend.during = during
+        daemon.backend.on_call = on_call
         with ThreadPoolExecutor(START_LIMIT) as callers:
             targets = ["/read/outer"] * START_LIMIT
             outcomes = list(callers.map(daemon.call, targets))
@@ -269,18 +273,18 @@
 
 
 def test_hang_up_cancels_the_whole_subtree() -> None:
-    """When the caller goes, the nested call ends too, on another daemon."""
+    """A caller's disconnect also cancels the nested call on another daemon."""
     with request_path("a", "b") as path:
         outer = path.daemons_by_instance["a"]
         nested: list[Answer | Refusal] = []
         nested_ended = threading.Event()
         cancellation = Cancellation()
 
-        def during(request: Request, token: str) -> None:
+        def on_call(request: Request, token: str) -> None:
             if request.target != "/read/outer":
                 return
             for daemon in path.daemons_by_instance.values():
-                daemon.backend.work_s = WAIT_S
+                daemon.backend.work_s = TIMEOUT_S
             timer = threading.Timer(0.05, cancellation.cancel)
             timer.start()
             owner = path.daemons_by_instance
@@ -289,17 +293,17 @@
             nested_ended.set()
 
         for daemon in path.daemons_by_instance.values():
-            daemon.backend.during = during
+            daemon.backend.on_call = on_call
         outcome = outer.call("/read/outer", cancellation=cancellation)
         assert isinstance(outcome, Refusal)
-        assert nested_ended.wait(WAIT_S)
+        assert nested_ended.wait(TIMEOUT_S)
         assert isinstance(nested[0], Refusal)
         assert nested[0].reason is Reason.CANCELLED
         assert all(len(item.calls) == 0 for item in path.daemons_by_instance.values())
 
 
 def test_unreachable_peer_is_suspected_and_passed_over() -> None:
-    """A call goes to the next server; the membership hears of the first."""
+    """A call is sent to the next server and the unreachable one is suspected."""
     with request_path("a", "b", "c") as path:
         del path.network.handlers_by_address[
             path.membership.servers_by_instance["b"].address
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -46,14 +46,14 @@
 
 
 def test_valid_settings() -> None:
-    """A whole document gives settings with defaults."""
+    """A complete document is valid, and omitted settings have defaults."""
     found = check_settings(_document(), "file")
     assert isinstance(found, DaemonSettings)
     assert found.limits.caller_threads > 0
 
 
 def test_each_fault_names_its_field_and_file() -> None:
-    """All faults are told at once; host names are not IP numbers."""
+    """All errors are reported together; a host name is not an IP address."""
     document = _document(
         instance="",
         platform={"host": "platform.example", "port": 1},
@@ -70,13 +70,13 @@
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(st.sampled_from(sorted(_document())), _JSON)
 def test_any_value_gives_settings_or_named_faults(field: str, value: Any) -> None:
-    """No document raises."""
+    """An invalid document gives a SettingsProblem instead of an exception."""
     found = check_settings(_document(**{field: value}), "file")
     assert isinstance(found, (DaemonSettings, SettingsProblem))
 
 
 def test_files() -> None:
-    """A missing file and one that isn't JSON are told as such."""
+    """A missing file and a file that isn't JSON are reported as problems."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "daemon.json"
         assert isinstance(load_settings(path), SettingsProblem)
@@ -87,7 +87,7 @@
 
 
 def test_secrets_come_from_files_and_the_environment() -> None:
-    """A short or missing secret is named by its place, never by its value."""
+    """A short secret is reported by its settings field, never by its value."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "secret"
         path.write_text("f" * 32 + "\n")
