--- a/damaskbay/daemon/app.py
+++ b/damaskbay/daemon/app.py
@@ -45,7 +45,7 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-DRAIN_ANNOUNCE_S = 2.0
+DRAIN_ANNOUNCE_S = 2.0  # until peers know that this server is draining
 DRAIN_POLL_S = 0.05
 IDLE_CONNECTIONS_GRACE_S = 3.0
 
--- a/damaskbay/daemon/calls.py
+++ b/damaskbay/daemon/calls.py
@@ -54,8 +54,8 @@
     started_at: float = 0.0
     total_s: float = 0.0
 
-    def begin(self, now: float) -> bool:
-        """Count a nested call; return whether it is the only one in flight."""
+    def start(self, now: float) -> bool:
+        """Record a nested call's start; return whether no other is in flight."""
         self.in_flight += 1
         if self.in_flight > 1:
             return False
@@ -63,7 +63,7 @@
         return True
 
     def end(self, now: float) -> bool:
-        """Uncount a nested call; return whether it was the last one in flight."""
+        """Record a nested call's end; return whether no other is in flight."""
         self.in_flight -= 1
         if self.in_flight > 0:
             return False
@@ -128,7 +128,7 @@
             self._tree.started(token, ticket, context)
             self._cancellations_by_ticket[ticket] = cancellation
             nested_time = self._nested_by_token[token]
-            first = nested_time.begin(self._clock())
+            first = nested_time.start(self._clock())
         if first:
             nested_time.listener.nested_began()
         return NestedCall(token, ticket, context)
--- a/damaskbay/daemon/dispatch.py
+++ b/damaskbay/daemon/dispatch.py
@@ -66,7 +66,7 @@
 
         cancellation.on_cancel(cancel)
         try:
-            reply = _wait(future, timeout_s + _PEER_REPLY_GRACE_S)
+            reply = _wait_for_reply(future, timeout_s + _PEER_REPLY_GRACE_S)
         finally:
             cancellation.forget(cancel)
         if isinstance(reply, (AnswerMessage, RefusalMessage)):
@@ -100,7 +100,7 @@
         self._clock = clock
         self._rng = rng
         self._lock = threading.Lock()
-        self._budgets_by_pool: dict[str, RetryBudget] = {}
+        self._retry_budgets_by_pool: dict[str, RetryBudget] = {}
 
     def dispatch(self, outgoing: OutgoingCall) -> CallResult:
         """Send a call until it has a response or final refusal, or its deadline."""
@@ -122,14 +122,14 @@
             return _refused_unsent(not_run(Reason.DEADLINE_PASSED))
         servers = self._membership.servers(context.pool)
         with self._lock:
-            chosen = self._choose(servers, context, attempts, now)
+            chosen = self._choose_server(servers, context, attempts, now)
         if isinstance(chosen, Refusal):
             return _refused_unsent(chosen)
         moved = attempts.allot_tokens(nested=not outgoing.leaf)
         context = replace(context, retry_tokens=moved)
-        return self._send(chosen, context, outgoing)
+        return self._send_to_server(chosen, context, outgoing)
 
-    def _choose(
+    def _choose_server(
         self,
         servers: tuple[ServerView, ...],
         context: CallContext,
@@ -159,7 +159,7 @@
             self._router.started(chosen.instance, now)
         return chosen
 
-    def _send(
+    def _send_to_server(
         self, server: ServerView, context: CallContext, outgoing: OutgoingCall
     ) -> CallResult:
         started_at = self._clock()
@@ -175,7 +175,7 @@
         with self._lock:
             self._router.finished(server.instance, outcome, now)
             if outcome.failure is None:
-                self._budget(context.pool, now).succeeded()
+                self._retry_budget(context.pool, now).succeeded()
         if _is_peer_failure(result):
             self._membership.suspect(server.instance, server.incarnation)
         return result
@@ -188,7 +188,7 @@
             retry = decide_retry(
                 result,
                 outgoing.context,
-                self._budget(outgoing.context.pool, now),
+                self._retry_budget(outgoing.context.pool, now),
                 attempts.tokens,
                 attempts.count,
                 now,
@@ -200,11 +200,11 @@
         attempts.excluded.add(retry.excluded)
         return retry.delay_s
 
-    def _budget(self, pool: str, now: float) -> RetryBudget:
-        budget = self._budgets_by_pool.get(pool)
+    def _retry_budget(self, pool: str, now: float) -> RetryBudget:
+        budget = self._retry_budgets_by_pool.get(pool)
         if budget is None:
             budget = RetryBudget(RetryBudgetOptions(), now)
-            self._budgets_by_pool[pool] = budget
+            self._retry_budgets_by_pool[pool] = budget
         return budget
 
 
@@ -249,7 +249,7 @@
         )
 
 
-def _wait(future: "Future[Any]", timeout_s: float) -> Any:
+def _wait_for_reply(future: "Future[Any]", timeout_s: float) -> Any:
     try:
         return future.result(timeout_s)
     except CancelledError:
--- a/damaskbay/daemon/observer.py
+++ b/damaskbay/daemon/observer.py
@@ -66,7 +66,7 @@
         self._enqueue(_CallEnded(ended, self._wall_clock()))
 
     def queue_waited(self, context: CallContext, waited_s: float) -> None:
-        """Queue the event of a call that waited for admission, in seconds."""
+        """Queue the event of a call that waited `waited_s` seconds for admission."""
         self._enqueue(_QueueWaited(context, waited_s))
 
     def explain(
--- a/damaskbay/daemon/peer_calls.py
+++ b/damaskbay/daemon/peer_calls.py
@@ -85,10 +85,7 @@
         done: Callable[[CallResult], None],
     ) -> None:
         if call.pool != self._pool:
-            refusal = not_run(
-                Reason.NO_BACKEND_SERVER,
-                detail="backend server belongs to another pool",
-            )
+            refusal = not_run(Reason.NO_BACKEND_SERVER, detail="another pool")
             done(CallResult(refusal, 0, call.retry_tokens))
             return
         context = context_of(call, now=self._clock())
--- a/damaskbay/daemon/rates_stock.py
+++ b/damaskbay/daemon/rates_stock.py
@@ -52,7 +52,7 @@
             if waiter.future.done():
                 return waiter.future.result()
             self._waiters.remove(waiter)
-        detail = "no reply from the holder of the share"
+        detail = "no answer from the share's holder"
         return not_run(Reason.SHARE_UNAVAILABLE, retry_after_s=1.0, detail=detail)
 
     def due_asks(self, now: float) -> tuple[BucketAsk, ...]:
--- a/damaskbay/daemon/rates_task.py
+++ b/damaskbay/daemon/rates_task.py
@@ -61,7 +61,7 @@
 @dataclass(frozen=True, slots=True)
 class _PeerTokenRequest:
     peer: PeerIdentity
-    ask: TokenAsk
+    request: TokenAsk
     responder: Responder
 
 
@@ -84,7 +84,7 @@
 
     holder: MemberView | None
     asks: tuple[BucketAsk, ...]
-    asked_at: float
+    sent_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,7 +127,9 @@
         self._config = config
         self._stock = stock
         self._options = options
-        self._table = HolderTable(identity.instance, options.groups, options.holders)
+        self._holder_table = HolderTable(
+            identity.instance, options.groups, options.holders
+        )
         self._node = HolderNode(
             self._own_process_id, options, random.Random(self._own_process_id)
         )
@@ -156,10 +158,10 @@
         match message:
             case Wake():
                 pass
-            case _PeerTokenRequest(peer, ask, responder):
+            case _PeerTokenRequest(peer, request, responder):
                 daemon = _process_id(peer)
                 key = _PeerReplyKey(responder)
-                replies = self._node.ask(key, daemon, ask, self._total_of, now)
+                replies = self._node.ask(key, daemon, request, self._total_of, now)
                 self._deliver(replies, now)
             case _PeerTokenCloses(peer, closes):
                 self._node.close(_process_id(peer), closes, now)
@@ -189,7 +191,7 @@
 
     def holder_instance(self, bucket: str, now: float) -> str:
         """Return the instance to which a token request of a bucket would be sent."""
-        holder = self._table.holder(group_of(bucket, self._options.groups), now)
+        holder = self._holder_table.holder(group_of(bucket, self._options.groups), now)
         return holder.instance if holder else self._own_process_id.rpartition("/")[0]
 
     def _total_of(self, bucket: str) -> Total | None:
@@ -200,8 +202,8 @@
         return total_of(state.config, bucket) or removed_limit
 
     def _update_members(self) -> None:
-        if self._table.update(self._membership.members()):
-            self._node.set_roles(self._table.roles())
+        if self._holder_table.update(self._membership.members()):
+            self._node.set_roles(self._holder_table.roles())
 
     def _send_due_requests(self, now: float) -> None:
         if self._releasing:
@@ -211,7 +213,7 @@
         members_by_instance: dict[str, MemberView | None] = {}
         for ask in self._stock.due_asks(now):
             group = group_of(ask.bucket, self._options.groups)
-            holder = self._table.holder(group, now, self._stock.turn(ask.bucket))
+            holder = self._holder_table.holder(group, now, self._stock.turn(ask.bucket))
             instance = holder.instance if holder else ""
             members_by_instance[instance] = holder
             asks_by_instance.setdefault(instance, []).append(ask)
@@ -221,15 +223,17 @@
             )
 
     def _send_request(self, sent: _SentRequest) -> None:
-        ask = TokenAsk(sent.asks)
+        request = TokenAsk(sent.asks)
         if sent.holder is None:
-            now = sent.asked_at
+            now = sent.sent_at
             replies = self._node.ask(
-                sent, self._own_process_id, ask, self._total_of, now
+                sent, self._own_process_id, request, self._total_of, now
             )
             self._deliver(replies, now)
             return
-        future = self._link.request(sent.holder.address, ask, timeout_s=ASK_TIMEOUT_S)
+        future = self._link.request(
+            sent.holder.address, request, timeout_s=ASK_TIMEOUT_S
+        )
         future.add_done_callback(lambda done: self._post_reply(sent, done))
 
     def _post_reply(self, sent: _SentRequest, done: "Future[Any]") -> None:
@@ -243,27 +247,27 @@
             self._stock.requests_failed(sent.asks, now)
             return
         if sent.holder is not None:
-            self._table.answered(sent.holder.instance)
+            self._holder_table.answered(sent.holder.instance)
         address = sent.holder.address if sent.holder else None
         self._stock.granted(
-            result.grants, sent.asks, address, asked_at=sent.asked_at, now=now
+            result.grants, sent.asks, address, asked_at=sent.sent_at, now=now
         )
 
     def _record_failure(self, instance: str, result: Any, now: float) -> None:
         _LOGGER.warning("rates: no answer. %s", instance)
         problem = result.problem if isinstance(result, PeerFailure) else None
         if problem is PeerProblem.TIMEOUT:
-            self._table.timed_out(instance, now)
+            self._holder_table.timed_out(instance, now)
         else:
-            self._table.avoid(instance, now)
+            self._holder_table.avoid(instance, now)
 
     def _deliver(self, replies: list[Answer], now: float) -> None:
-        for answer in replies:
-            if isinstance(answer.key, _SentRequest):
-                self._on_reply(answer.key, answer.grants, now)
+        for reply in replies:
+            if isinstance(reply.key, _SentRequest):
+                self._on_reply(reply.key, reply.grants, now)
             else:
-                assert isinstance(answer.key, _PeerReplyKey)
-                answer.key.responder.answer(answer.grants)
+                assert isinstance(reply.key, _PeerReplyKey)
+                reply.key.responder.answer(reply.grants)
 
     def _send_closes(self, now: float) -> None:
         closes_by_holder = self._stock.due_closes(now, everything=self._releasing)
--- a/damaskbay/daemon/settings.py
+++ b/damaskbay/daemon/settings.py
@@ -43,7 +43,7 @@
     port: Port
 
     def address(self) -> PeerAddress:
-        """Return the address as used by the peer ports."""
+        """Return the address as a PeerAddress."""
         return PeerAddress(self.host, self.port)
 
 
--- a/damaskbay/daemon/target.py
+++ b/damaskbay/daemon/target.py
@@ -64,7 +64,7 @@
         try:
             refusal = admitted.result(max(0.0, wait_s))
         except TimeoutError:
-            refusal = not_run(Reason.DEADLINE_PASSED, detail="deadline passed in queue")
+            refusal = not_run(Reason.DEADLINE_PASSED, detail="waited in the queue")
             if not ticket.cancel():
                 refusal = admitted.result()
         if refusal is not None:
--- a/tests/daemon/common.py
+++ b/tests/daemon/common.py
@@ -285,7 +285,7 @@
     backend: FakeBackend
     gate: AdmissionGate
     calls: CallRegistry
-    observed: FakeObserver
+    observer: FakeObserver
 
     def call(
         self,
@@ -350,7 +350,7 @@
         rng = random.Random(1)
         rules = CurrentRules(self.config)
         backend = FakeBackend(identity.instance)
-        observed = FakeObserver()
+        observer = FakeObserver()
         gate = AdmissionGate(
             AdmissionOptions(slots=SLOTS), rng=rng, still_allowed=rules.still_allowed
         )
@@ -363,7 +363,7 @@
             executor=self.executor,
             weight_of=rules.weight_of,
             clock=clock,
-            observe_wait=observed.queue_waited,
+            observe_wait=observer.queue_waited,
         )
         peers = PeerCaller(link, clock)
         dispatcher = Dispatcher(
@@ -406,11 +406,11 @@
             dispatcher=dispatcher,
             calls=calls,
             once=once,
-            observer=observed,
+            observer=observer,
             room=EdgeRoom(100),
         )
         ingress = Ingress(parts, clock=clock, wall_clock=time.time)
-        return PathDaemon(identity, ingress, backend, gate, calls, observed)
+        return PathDaemon(identity, ingress, backend, gate, calls, observer)
 
     def runs(self, target: str) -> int:
         """Return the number of runs of a target on all backend servers."""
--- a/tests/daemon/rates_common.py
+++ b/tests/daemon/rates_common.py
@@ -115,11 +115,11 @@
     """Membership with a fixed list of daemons."""
 
     def __init__(self, members: tuple[MemberView, ...]) -> None:
-        self.all = members
+        self.current_members = members
 
     def members(self) -> tuple[MemberView, ...]:
         """Return all daemons of the failure domain."""
-        return self.all
+        return self.current_members
 
 
 @dataclass
--- a/tests/daemon/test_request_path.py
+++ b/tests/daemon/test_request_path.py
@@ -69,7 +69,7 @@
             assert outcome.reason is reason
             assert outcome.not_run
         assert daemon.backend.runs_by_target == {}
-        unknown_key = daemon.observed.ended[1]
+        unknown_key = daemon.observer.ended[1]
         assert (unknown_key.route, unknown_key.set_version) == ("read", 1)
 
 
@@ -225,8 +225,8 @@
 
 def _wait_until(condition: Callable[[], bool]) -> None:
     """Poll a condition until a timeout; the caller's assertions detect a timeout."""
-    limit = monotonic_s() + TIMEOUT_S
-    while not condition() and monotonic_s() < limit:
+    give_up_at = monotonic_s() + TIMEOUT_S
+    while not condition() and monotonic_s() < give_up_at:
         time.sleep(POLL_S)
 
 
@@ -255,12 +255,12 @@
     """Calls that fill the concurrency limit and call their own pool all finish."""
     with request_path("a") as path:
         daemon = path.daemons_by_instance["a"]
-        inside = threading.Barrier(START_LIMIT)
+        all_running = threading.Barrier(START_LIMIT)
 
         def on_call(request: Request, token: str) -> None:
             if request.target != "/read/outer":
                 return
-            inside.wait(TIMEOUT_S)
+            all_running.wait(TIMEOUT_S)
             inner = daemon.call("/read/inner", key=None, call_token=token)
             assert isinstance(inner, Answer), inner
 
@@ -287,9 +287,9 @@
                 daemon.backend.work_s = TIMEOUT_S
             timer = threading.Timer(0.05, cancellation.cancel)
             timer.start()
-            owner = path.daemons_by_instance
-            holder = next(item for item in owner.values() if len(item.calls))
-            nested.append(holder.call("/read/inner", key=None, call_token=token))
+            daemons = path.daemons_by_instance
+            server = next(item for item in daemons.values() if len(item.calls))
+            nested.append(server.call("/read/inner", key=None, call_token=token))
             nested_ended.set()
 
         for daemon in path.daemons_by_instance.values():
