--- a/damaskbay/daemon/admission.py
+++ b/damaskbay/daemon/admission.py
@@ -50,11 +50,11 @@
         self._gate.finish(self.number, sample)
 
     def nested_began(self) -> None:
-        """Release the slot while this call waits for its nested calls."""
+        """Exclude this call from the limit while it waits for nested calls."""
         self._gate.nested_began(self.number)
 
     def nested_ended(self) -> None:
-        """Count this call as running again after its nested calls."""
+        """Count this call against the limit again after its nested calls."""
         self._gate.nested_ended(self.number)
 
     def cancel(self) -> bool:
--- a/damaskbay/daemon/calls.py
+++ b/damaskbay/daemon/calls.py
@@ -134,7 +134,7 @@
         return NestedCall(token, ticket, context)
 
     def end_nested(self, nested: NestedCall, retry_tokens_left: int) -> None:
-        """Unregister a nested call and return unspent retry tokens to its parent."""
+        """Unregister a nested call and credit unspent retry tokens to its parent."""
         with self._lock:
             self._cancellations_by_ticket.pop(nested.ticket, None)
             self._tree.finished(nested.token, nested.ticket, retry_tokens_left)
--- a/damaskbay/daemon/dispatch.py
+++ b/damaskbay/daemon/dispatch.py
@@ -236,7 +236,7 @@
         """
         Return the last result with the attempts and tokens of the whole call.
 
-        The outcome is `unknown` if an earlier attempt may have run.
+        A `not_run` refusal becomes `unknown` if an earlier attempt may have run.
         """
         outcome = last.result
         if isinstance(outcome, Refusal) and outcome.not_run and self._may_have_run:
--- a/damaskbay/daemon/once.py
+++ b/damaskbay/daemon/once.py
@@ -65,9 +65,9 @@
         """
         Refuse a call with a request id before it reaches the owner of the id.
 
-        The result covers all attempts with the id: if this daemon owns the id and
-        has recorded an earlier attempt, the result is that of the earlier attempt.
-        If another daemon owns the id, the outcome is `unknown`.
+        The result covers all attempts with the id. If this daemon owns the id and
+        an earlier attempt has started, the result is what a retry gets. If another
+        daemon owns the id, the outcome is `unknown`.
         """
         request_id = context.request_id or ""
         ref = parse_request_id(self._secrets, request_id)
--- a/damaskbay/daemon/rates_task.py
+++ b/damaskbay/daemon/rates_task.py
@@ -190,7 +190,7 @@
             self.left.set_result(None)
 
     def holder_instance(self, bucket: str, now: float) -> str:
-        """Return the instance to which a token request of a bucket would be sent."""
+        """Return the instance to which token requests for a bucket are sent."""
         holder = self._holder_table.holder(group_of(bucket, self._options.groups), now)
         return holder.instance if holder else self._own_process_id.rpartition("/")[0]
 
