--- a/damaskbay/mesh/app.py
+++ b/damaskbay/mesh/app.py
@@ -24,8 +24,8 @@
 )
 from damaskbay.helpers.clock import monotonic_s
 from damaskbay.mesh.assembly import (
+    PlatformParts,
     Shared,
-    Surroundings,
     make_ingress,
     make_retry_budget,
     make_target,
@@ -70,10 +70,10 @@
     """One daemon; `run` serves until `stop` is called, then shuts down gracefully."""
 
     def __init__(
-        self, settings: MeshSettings, surroundings: Surroundings, control: Control
+        self, settings: MeshSettings, platform_parts: PlatformParts, control: Control
     ) -> None:
         self.settings = settings
-        self._surroundings = surroundings
+        self._platform_parts = platform_parts
         self._rng = Random()
         self._incarnation = time.time_ns() // 1_000_000
         self._stopping = asyncio.Event()
@@ -87,7 +87,7 @@
             on_links_change=self._links_changed,
             on_request=self._handle_request,
             on_note=self._handle_note,
-            note=self._note,
+            note=self._make_note,
         )
         self._directory = Directory(settings.instance, self._links.up)
         options = QuotaOptions(settings.quota_overage, settings.quota_slack)
@@ -109,7 +109,7 @@
             self._telemetry,
             self._rng,
         )
-        dialect = surroundings.dialect
+        dialect = platform_parts.dialect
         self._target = make_target(settings, dialect, shared, self._weight_of)
         self._ingress = make_ingress(settings, dialect, shared, self._target)
         self._status = StatusEndpoints(
@@ -200,27 +200,27 @@
         """Start the graceful shutdown."""
         self._stopping.set()
 
-    async def take_heartbeat(self, beat: Heartbeat) -> None:
+    async def record_heartbeat(self, beat: Heartbeat) -> None:
         """Record a heartbeat of the local server."""
-        self.local.heartbeat(beat, monotonic_s())
+        self.local.record_heartbeat(beat, monotonic_s())
         if self.local.state is not ServerState.READY:
             await self._registration.write_now(DRAIN_WRITE_TIMEOUT_S)
 
-    async def take_leave(self, server: str, born_ms: int | None) -> None:
+    async def record_deregistration(self, server: str, born_ms: int | None) -> None:
         """Record that the local server has deregistered."""
         if self.local.deregister(server, born_ms, monotonic_s()):
             await self._registration.write_now(DRAIN_WRITE_TIMEOUT_S)
 
     def _make_control_plane(self) -> None:
-        environment = self._surroundings
+        platform_parts = self._platform_parts
         self._registration = Registration(
-            environment.store,
-            environment.member_prefix + self.settings.instance,
+            platform_parts.store,
+            platform_parts.member_prefix + self.settings.instance,
             self._stored_record,
         )
         self._member_watch = MemberWatch(
-            environment.store,
-            environment.member_prefix,
+            platform_parts.store,
+            platform_parts.member_prefix,
             self._directory,
             on_change=self._members_changed,
             instance=self.settings.instance,
@@ -228,10 +228,10 @@
             clock=monotonic_s,
         )
         self._config_watch = ConfigWatch(
-            environment.store,
-            prefix=environment.config_prefix,
-            key=environment.config_key,
-            decode=environment.decode_config,
+            platform_parts.store,
+            prefix=platform_parts.config_prefix,
+            key=platform_parts.config_key,
+            decode=platform_parts.decode_config,
             configuration=self.configuration,
             needed=self._watch_needed,
             clock=monotonic_s,
@@ -284,7 +284,7 @@
 
     def _stored_record(self) -> MemberRecord:
         """Return the record with the server's own state, for the next daemon start."""
-        return replace(self._record(), state=self.local.state)
+        return replace(self._make_record(), state=self.local.state)
 
     def _restore_server(self, record: MemberRecord) -> None:
         """Restore the server's state from the record of an earlier daemon start."""
@@ -294,7 +294,7 @@
             )
             self.local.restore(known, monotonic_s())
 
-    def _record(self) -> MemberRecord:
+    def _make_record(self) -> MemberRecord:
         settings = self.settings
         state = ServerState.DRAINING if self._target.draining else self.local.state
         return MemberRecord(
@@ -309,8 +309,8 @@
             self.local.born_ms,
         )
 
-    def _note(self) -> Note:
-        record = self._record()
+    def _make_note(self) -> Note:
+        record = self._make_record()
         now = monotonic_s()
         return Note(
             record.instance,
@@ -357,7 +357,7 @@
 
     def _members_changed(self) -> None:
         self._directory.remove_expired(monotonic_s())
-        wanted = wanted_neighbours(self._directory.records(), self._record())
+        wanted = wanted_neighbours(self._directory.records(), self._make_record())
         self._links.want(self._directory.addresses(wanted))
         self._exchange.members_changed()
 
@@ -365,7 +365,7 @@
         now = monotonic_s()
         if self.local.slots and self.local.slots != self._gate.slots:
             self._gate.set_slots(self.local.slots, now)
-        self._directory.put_local(self._record(), now)
+        self._directory.put_local(self._make_record(), now)
         self._registration.schedule_write()
         self._links.tell_all()
 
--- a/damaskbay/mesh/assembly.py
+++ b/damaskbay/mesh/assembly.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class PlatformParts:
     """
     Platform-specific dependencies of the daemon.
 
--- a/damaskbay/mesh/const.py
+++ b/damaskbay/mesh/const.py
@@ -11,8 +11,8 @@
 REVOKE_MARGIN_S: Final = 1.3
 """Margin below the revocation time limit, seconds.
 
-A watch may receive nothing for a second before the store drops its history, and
-proves nothing then; the rest covers clock drift and late timers.
+A watch may miss changes for a second until the store drops its history, so an empty
+watch is no proof then. The rest covers clock drift and late timers.
 """
 
 DRAIN_MARGIN_S: Final = 0.4
@@ -37,7 +37,10 @@
 """Time to keep serving after SIGTERM, seconds: two readiness checks, 1 s apart."""
 
 SERVE_AFTER_SIGTERM_SHARE: Final = 0.4
-"""Limit of that time as a part of the grace time; running calls need the rest."""
+"""Limit of SERVE_AFTER_SIGTERM_S as a part of the grace time.
+
+Running calls need the rest.
+"""
 
 STOP_MARGIN_S: Final = 0.9
 """Margin before the platform kills a stopping process, seconds."""
@@ -52,7 +55,7 @@
 """Links to servers of each pool in the local domain; two would balance load."""
 
 REMOTE_LINKS_PER_POOL: Final = 4
-"""Links to servers of each pool in remote domains, for lack of local capacity."""
+"""Links to servers of each pool in remote domains; used if local capacity is short."""
 
 REPORT_INTERVAL_S: Final = 0.4
 """Seconds between reports to the relay; a quota window has a dozen reports."""
--- a/damaskbay/mesh/directory.py
+++ b/damaskbay/mesh/directory.py
@@ -12,7 +12,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 NOTE_TIMEOUT_S = 7.0
-"""Seconds without a note after which a daemon that isn't listed is removed."""
+"""Seconds without a note after which a daemon not listed in the store is removed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,14 +118,14 @@
         return [member.record for member in self._by_instance.values()]
 
     def instances_by_domain(self) -> dict[str, set[str]]:
-        """Return the known daemons, which may be serving, by failure domain."""
+        """Return the instances of all known daemons by failure domain."""
         found: dict[str, set[str]] = {}
         for instance, member in self._by_instance.items():
             found.setdefault(member.record.failure_domain, set()).add(instance)
         return found
 
     def instances(self) -> frozenset[str]:
-        """Return the known daemons, which may be serving."""
+        """Return the instances of all known daemons, also unreachable ones."""
         return frozenset(self._by_instance)
 
     def invalidate(self) -> None:
@@ -166,6 +166,7 @@
     def _update(
         self, record: MemberRecord, now: float, *, listed: bool
     ) -> _Member | None:
+        """Store a record; return its member, None if a fresher record is known."""
         self._views_by_pool.pop(record.pool, None)
         member = self._by_instance.get(record.instance)
         if member is None:
--- a/damaskbay/mesh/dispatch.py
+++ b/damaskbay/mesh/dispatch.py
@@ -66,7 +66,7 @@
     async def dispatch(
         self, context: CallContext, route: Route, request: Request
     ) -> CallResult:
-        """Send until a final response, a final refusal, or the deadline."""
+        """Send a call, with retries; return its final response or refusal."""
         progress = _Progress()
         while True:
             if progress.attempts_made and not context.resent:
@@ -139,7 +139,7 @@
         progress: _Progress,
         result: CallResult,
     ) -> bool:
-        """Return whether to retry; the next target's retry budget may still refuse."""
+        """Return whether to retry; the next target's retry budget may refuse it."""
         outcome = result.result
         if isinstance(outcome, Answer):
             return self._should_retry_response(context, route, progress, result)
--- a/damaskbay/mesh/exchange.py
+++ b/damaskbay/mesh/exchange.py
@@ -94,7 +94,7 @@
         return FleetState(own, total, counted.daemons, version, age_s)
 
     def domain_demand(self, request: DomainDemandRequest) -> DomainTotal:
-        """Return the local demand; record the daemons behind the requesting relay."""
+        """Return the local demand; record how many daemons rely on the sender."""
         if not self._fleet_known:
             return DomainTotal({}, 0, 0)
         parts = self._parts
--- a/damaskbay/mesh/gate.py
+++ b/damaskbay/mesh/gate.py
@@ -23,7 +23,7 @@
 """Seconds between checks for queued calls that have waited too long."""
 
 MAX_WAIT_SHARE = 0.5
-"""Part of its objective that a new call may wait for a slot, or it is refused."""
+"""Part of its latency objective that a root call may wait, or it is refused."""
 
 
 class Gate:
--- a/damaskbay/mesh/local_server.py
+++ b/damaskbay/mesh/local_server.py
@@ -47,7 +47,7 @@
         """Return when the server started, in milliseconds since 1970."""
         return max(0, self._born_ms)
 
-    def heartbeat(self, beat: Heartbeat, now: float) -> bool:
+    def record_heartbeat(self, beat: Heartbeat, now: float) -> bool:
         """Record a report; return False if it is older than the last one."""
         order = (beat.born_ms, beat.sequence)
         if order <= (self._born_ms, self._sequence):
@@ -76,8 +76,8 @@
         """
         Restore the server's last report from an earlier start of the daemon.
 
-        A draining server stays so. If another server has taken its place, that one
-        refuses calls for the known server until its first report.
+        A server that was draining remains draining. If another server now listens at
+        the address, it refuses calls, which name the known server, until its report.
         """
         if self.state is not ServerState.STARTING or not known.server:
             return
--- a/damaskbay/mesh/registry.py
+++ b/damaskbay/mesh/registry.py
@@ -24,7 +24,10 @@
 """Seconds between lease renewals; three fit into the lease."""
 
 RETRY_DELAY_S = 0.4
-"""Delay before a store request is retried, seconds; records return within 2 s."""
+"""Delay before a store request is retried, seconds.
+
+A lost record must be back in the store within 2 s.
+"""
 
 WATCH_TIMEOUT_S = 20.0
 """Timeout of a watch on the records, seconds; a change ends it sooner."""
--- a/damaskbay/mesh/running.py
+++ b/damaskbay/mesh/running.py
@@ -1,4 +1,4 @@
-"""Calls that run at the local server, by the ids of their nested calls."""
+"""Running calls of the local server, found by the ids of their nested calls."""
 
 from dataclasses import dataclass
 
@@ -23,7 +23,7 @@
     The running calls by request id.
 
     A nested call belongs to the running call whose id is a prefix of its id. Callers
-    choose ids, so this gives the call its root's priority but never any access.
+    choose ids, so a nested call inherits its caller's priority but no access rights.
     """
 
     def __init__(self) -> None:
--- a/damaskbay/mesh/stopping.py
+++ b/damaskbay/mesh/stopping.py
@@ -21,7 +21,7 @@
 """Seconds between checks whether all calls have ended."""
 
 NOT_ACCEPTING_SHARE = 0.4
-"""Part of the waiting time, at its end, without new connections, 0 to 1.
+"""Last part, 0 to 1, of the wait for running calls, without new connections.
 
 Without it, callers that keep connecting are cut off at the end. Connections are
 still accepted while the local server runs a call, which may make nested calls.
--- a/damaskbay/mesh/target.py
+++ b/damaskbay/mesh/target.py
@@ -47,7 +47,7 @@
 
 
 class Target:
-    """The only sender to the local server, so it alone counts the slots in use."""
+    """Sends calls to the local server; as the only sender it knows the slots in use."""
 
     def __init__(self, parts: TargetParts) -> None:
         self._parts = parts
--- a/damaskbay/mesh/weights.py
+++ b/damaskbay/mesh/weights.py
@@ -1,4 +1,4 @@
-"""Distributes a route's calls over its weighted pools, also in short periods."""
+"""Distributes a route's calls over its pools by weight, even over few calls."""
 
 from random import Random
 
--- a/damaskbay/platform/__main__.py
+++ b/damaskbay/platform/__main__.py
@@ -14,7 +14,7 @@
 from damaskbay.config.objects import ConfigSet
 from damaskbay.helpers.logs import set_up_queued_logging
 from damaskbay.mesh.app import MeshDaemon
-from damaskbay.mesh.assembly import Surroundings
+from damaskbay.mesh.assembly import PlatformParts
 from damaskbay.platform.const import (
     CONFIG_KEY,
     CONFIG_PREFIX,
@@ -91,14 +91,17 @@
 
     def control_handler(daemon: MeshDaemon) -> Handler:
         listener = HeartbeatListener(
-            settings.pool, settings.server, daemon.take_heartbeat, daemon.take_leave
+            settings.pool,
+            settings.server,
+            daemon.record_heartbeat,
+            daemon.record_deregistration,
         )
         return listener.serve
 
-    surroundings = Surroundings(
+    platform_parts = PlatformParts(
         store, DIALECT, decode_config, CONFIG_PREFIX, CONFIG_KEY, MEMBER_PREFIX
     )
-    daemon = MeshDaemon(settings, surroundings, control_handler)
+    daemon = MeshDaemon(settings, platform_parts, control_handler)
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, daemon.stop)
--- a/damaskbay/platform/const.py
+++ b/damaskbay/platform/const.py
@@ -24,7 +24,7 @@
 )
 
 STORE_TIMEOUT_S: Final = 2.0
-"""Timeout of a store request, seconds; sixty times the usual latency is 0.24 s."""
+"""Timeout of a store request, seconds; sixty times the usual 4 ms is 0.24 s."""
 
 WATCH_TIMEOUT_MARGIN_S: Final = 1.0
 """Seconds after the end of a watch before its request times out."""
--- a/tests/mesh/common.py
+++ b/tests/mesh/common.py
@@ -14,7 +14,7 @@
 from damaskbay.config.objects import CallerLimits
 from damaskbay.core.call import Answer, Headers, Request
 from damaskbay.mesh.app import MeshDaemon
-from damaskbay.mesh.assembly import Surroundings
+from damaskbay.mesh.assembly import PlatformParts
 from damaskbay.mesh.settings import MeshSettings
 from damaskbay.platform.__main__ import decode_config
 from damaskbay.platform.const import (
@@ -41,20 +41,20 @@
 
 @dataclass
 class Backend:
-    """A backend server; `behave` may override its responses."""
+    """A backend server; `override_response` may override its responses."""
 
     pool: str
     server: str
     address: PeerAddress
     seen: list[Request] = field(default_factory=list)
-    behave: Callable[[Request], Awaitable[Answer | None]] | None = None
+    override_response: Callable[[Request], Awaitable[Answer | None]] | None = None
 
     async def serve(self, arrival: Arrival) -> Answer:
-        """Return the usual response, or the one that `behave` returns."""
+        """Return the usual response, or the one that `override_response` returns."""
         request = arrival.request
         self.seen.append(request)
-        if self.behave is not None:
-            override = await self.behave(request)
+        if self.override_response is not None:
+            override = await self.override_response(request)
             if override is not None:
                 return override
         headers = dict(request.headers)
@@ -163,7 +163,7 @@
     async def add_daemon(self, name: str, backend: Backend, **changes: Any) -> Node:
         """Start a daemon for a running server and wait until it serves."""
         settings = _settings(name, backend, self._store_address, changes)
-        surroundings = Surroundings(
+        platform_parts = PlatformParts(
             KvStore(settings.store),
             DIALECT,
             decode_config,
@@ -176,11 +176,11 @@
             return HeartbeatListener(
                 backend.pool,
                 backend.address,
-                daemon.take_heartbeat,
-                daemon.take_leave,
+                daemon.record_heartbeat,
+                daemon.record_deregistration,
             ).serve
 
-        daemon = MeshDaemon(settings, surroundings, control)
+        daemon = MeshDaemon(settings, platform_parts, control)
         node = Node(daemon, backend, asyncio.create_task(daemon.run()))
         self.nodes[name] = node
         self._stack.callback(node.run.cancel)
--- a/tests/mesh/test_exchange.py
+++ b/tests/mesh/test_exchange.py
@@ -20,7 +20,7 @@
 
 WORKSPACE = Workspace("w", 100.0, 100)
 STEADY_ROUNDS = 30
-"""Rounds until even demand is reported in full: several time constants."""
+"""Rounds until the smoothed demand has converged: several time constants."""
 
 
 class _Clock:
--- a/tests/mesh/test_explaining.py
+++ b/tests/mesh/test_explaining.py
@@ -79,7 +79,7 @@
         async def garble(_request: Request) -> Answer | None:
             return Answer(200, (), b"no stamp and no id")
 
-        fleet.nodes["a"].backend.behave = garble
+        fleet.nodes["a"].backend.override_response = garble
         answer = await fleet.nodes["b"].request(
             "/unsafe/", method="POST", request_id="lost"
         )
@@ -93,7 +93,7 @@
 
 
 def test_a_request_that_failed_below() -> None:
-    """A line of the nested call names the full server that refused it."""
+    """A line of the nested call names the overloaded server that refused it."""
 
     async def check(fleet: Fleet) -> None:
         async def full(request: Request) -> Answer | None:
@@ -109,8 +109,8 @@
             stamp = ("X-Server-Stamp", "s")
             return Answer(500, (("X-Request-Id", own), stamp))
 
-        fleet.nodes["a"].backend.behave = nested
-        fleet.nodes["b"].backend.behave = full
+        fleet.nodes["a"].backend.override_response = nested
+        fleet.nodes["b"].backend.override_response = full
         answer = await fleet.nodes["b"].request("/safe/", request_id="deep")
         assert answer.status == 500
 
--- a/tests/mesh/test_fleet.py
+++ b/tests/mesh/test_fleet.py
@@ -92,7 +92,7 @@
     async def check(fleet: Fleet) -> None:
         node = fleet.nodes["a"]
         await asyncio.sleep(STEADY_S)
-        fleet.kv.faults.deaf = True
+        fleet.kv.faults.drop_watch_events = True
         await fleet.publish(keys=("k2",))
         withdrawn_at = monotonic_s()
         await asyncio.sleep(WATCH_GAP_S)
@@ -134,7 +134,7 @@
 
     async def check(fleet: Fleet) -> None:
         cut_off = fleet.nodes["b"].daemon
-        store = cut_off._surroundings.store
+        store = cut_off._platform_parts.store
         store._client.address = fleet.nodes["b"].backend.address  # type: ignore[attr-defined]
         store._client.close()  # type: ignore[attr-defined]
         await fleet.publish(keys=("k1", "k2"))
@@ -160,7 +160,7 @@
             return None
 
         for name in ("a", "b"):
-            fleet.nodes[name].backend.behave = lose_response
+            fleet.nodes[name].backend.override_response = lose_response
         unsafe = await fleet.nodes["c"].request("/unsafe/", method="POST")
         assert unsafe.status == 502
         seen = [fleet.nodes[name].backend.seen for name in ("a", "b")]
@@ -179,7 +179,7 @@
             named = ("X-Request-Id", dict(request.headers)["X-Request-Id"])
             return Answer(503, (named, ("X-Not-Executed", "1")))
 
-        fleet.nodes["a"].backend.behave = full
+        fleet.nodes["a"].backend.override_response = full
         answer = await fleet.nodes["b"].request("/unsafe/", method="POST")
         assert answer.status == 503
         assert _header(answer, "Retry-After") is not None
@@ -213,7 +213,7 @@
             await asyncio.sleep(30)
             return None
 
-        fleet.nodes["a"].backend.behave = stuck
+        fleet.nodes["a"].backend.override_response = stuck
         started_at = asyncio.get_running_loop().time()
         answer = await node.request("/safe/")
         took_s = asyncio.get_running_loop().time() - started_at
@@ -231,7 +231,7 @@
             await asyncio.sleep(1.0)
             return None
 
-        fleet.nodes["a"].backend.behave = slow
+        fleet.nodes["a"].backend.override_response = slow
         requests = [
             asyncio.create_task(fleet.nodes[name].request("/safe/"))
             for name in ("a", "b")
--- a/tests/mesh/test_parts.py
+++ b/tests/mesh/test_parts.py
@@ -53,32 +53,34 @@
 def test_an_overtaken_report_is_not_taken() -> None:
     """Reports are ordered by the server's start, then by their sequence."""
     local = LocalServer(2.0, lambda: None)
-    assert local.heartbeat(replace(READY, sequence=3), 0.0)
-    assert not local.heartbeat(replace(READY, sequence=2, slots=1), 0.1)
+    assert local.record_heartbeat(replace(READY, sequence=3), 0.0)
+    assert not local.record_heartbeat(replace(READY, sequence=2, slots=1), 0.1)
     assert local.slots == 8
-    assert local.heartbeat(replace(READY, server="i-2", sequence=1, born_ms=2000), 0.2)
+    assert local.record_heartbeat(
+        replace(READY, server="i-2", sequence=1, born_ms=2000), 0.2
+    )
     late = replace(READY, sequence=9, state=ServerState.DRAINING)
-    assert not local.heartbeat(late, 0.3)
+    assert not local.record_heartbeat(late, 0.3)
     assert (local.server, local.state.value) == ("i-2", "ready")
 
 
 def test_a_leaving_server_gets_no_call_after_its_time() -> None:
     """Admitted calls may still be sent, but for less than the drain time."""
     local = LocalServer(2.0, lambda: None)
-    local.heartbeat(READY, 0.0)
-    local.heartbeat(replace(READY, sequence=2, state=ServerState.DRAINING), 1.0)
+    local.record_heartbeat(READY, 0.0)
+    local.record_heartbeat(replace(READY, sequence=2, state=ServerState.DRAINING), 1.0)
     assert local.may_send(1.5)
     assert not local.may_send(3.0)
-    local.heartbeat(replace(READY, sequence=3), 1.2)
+    local.record_heartbeat(replace(READY, sequence=3), 1.2)
     assert local.state is ServerState.DRAINING
-    local.heartbeat(replace(READY, born_ms=2000), 4.0)
+    local.record_heartbeat(replace(READY, born_ms=2000), 4.0)
     assert local.may_send(4.0)
 
 
 def test_a_deregistered_server_is_gone() -> None:
     """Another server, or an earlier start of this one, can't deregister it."""
     local = LocalServer(2.0, lambda: None)
-    local.heartbeat(READY, 0.0)
+    local.record_heartbeat(READY, 0.0)
     assert not local.deregister("i-9", None, 0.5)
     assert not local.deregister("i-1", 999, 0.5)
     assert local.deregister("i-1", 1000, 1.0)
@@ -91,9 +93,9 @@
     local = LocalServer(2.0, lambda: None)
     local.restore(replace(READY, state=ServerState.DRAINING, sequence=0), 0.0)
     assert local.state.value == "starting"
-    local.heartbeat(READY, 0.0)
+    local.record_heartbeat(READY, 0.0)
     assert local.state.value == "draining"
-    local.heartbeat(replace(READY, server="i-2", born_ms=3000), 0.5)
+    local.record_heartbeat(replace(READY, server="i-2", born_ms=3000), 0.5)
     assert (local.server, local.may_send(9.0)) == ("i-2", True)
 
 
@@ -102,7 +104,7 @@
     local = LocalServer(2.0, lambda: None)
     local.restore(replace(READY, sequence=0), 0.0)
     assert (local.server, local.slots, local.state.value) == ("i-1", 8, "ready")
-    assert local.heartbeat(replace(READY, slots=9, sequence=4), 0.5)
+    assert local.record_heartbeat(replace(READY, slots=9, sequence=4), 0.5)
     local.restore(replace(READY, server="i-0"), 0.6)
     assert (local.server, local.slots) == ("i-1", 9)
 
--- a/tests/mesh/test_tokens.py
+++ b/tests/mesh/test_tokens.py
@@ -106,7 +106,7 @@
 
 
 def test_nobody_is_asked_again_before_the_next_token() -> None:
-    """The retry delay of callers is longer than that of the daemon."""
+    """The daemon sends no request before its retry delay; callers get a longer one."""
     daemon = _Daemon(f"{REMOTE_DOMAIN}1", REMOTE_DOMAIN, is_relay=False)
     daemon.replies[f"{HOME_DOMAIN}0"] = EXHAUSTED
     for _ in range(3):
@@ -122,7 +122,7 @@
 
 
 def test_the_home_grants_by_itself() -> None:
-    """Its relay requests nothing, and grants only for daemons that rely on it."""
+    """The home relay sends no request; it grants tokens once its daemons report."""
     daemon = _Daemon(f"{HOME_DOMAIN}0", HOME_DOMAIN, is_relay=True)
     assert daemon.spend() is not None
     daemon.now += 2.0
@@ -134,7 +134,7 @@
 
 
 def test_a_question_does_not_go_round_for_ever() -> None:
-    """Daemons that take each other for the relay stop after a few hops."""
+    """Daemons that consider each other the relay stop forwarding after a few hops."""
     daemon = _Daemon(f"{HOME_DOMAIN}1", HOME_DOMAIN, is_relay=False)
     wanted = TokenRequest(WORKSPACE.name, TOKEN_MAX_HOPS + 1)
     grant = asyncio.run(daemon.tokens.handle_token_request(wanted))
--- a/tests/platform/kv_stand_in.py
+++ b/tests/platform/kv_stand_in.py
@@ -19,13 +19,13 @@
     """
     Faults to inject.
 
-    `status` is the status of all responses. While `deaf`, watches return no
-    changes. With `lose_answers` requests run, but get no response. `page_size` is
+    `status` is the status of all responses. With `drop_watch_events`, watches return
+    no changes. With `lose_answers` requests run, but get no response. `page_size` is
     the number of items on a page.
     """
 
     status: int | None = None
-    deaf: bool = False
+    drop_watch_events: bool = False
     lose_answers: bool = False
     page_size: int = DEFAULT_PAGE_SIZE
 
@@ -117,7 +117,7 @@
             return _json_response(410, {})
 
         def events() -> list[dict[str, Any]]:
-            if self.faults.deaf:
+            if self.faults.drop_watch_events:
                 return []
             return [
                 event
