--- a/damaskbay/mesh/app.py
+++ b/damaskbay/mesh/app.py
@@ -25,7 +25,7 @@
 from damaskbay.helpers.clock import monotonic_s
 from damaskbay.mesh.assembly import (
     PlatformParts,
-    Shared,
+    SharedParts,
     make_ingress,
     make_retry_budget,
     make_target,
@@ -62,7 +62,7 @@
 """Timeout of the store write before a server's drain report is confirmed, seconds."""
 
 
-Control = Callable[["MeshDaemon"], Handler]
+MakeControlHandler = Callable[["MeshDaemon"], Handler]
 """Returns the HTTP handler for reports of the local server."""
 
 
@@ -70,7 +70,10 @@
     """One daemon; `run` serves until `stop` is called, then shuts down gracefully."""
 
     def __init__(
-        self, settings: MeshSettings, platform_parts: PlatformParts, control: Control
+        self,
+        settings: MeshSettings,
+        platform_parts: PlatformParts,
+        make_control_handler: MakeControlHandler,
     ) -> None:
         self.settings = settings
         self._platform_parts = platform_parts
@@ -96,7 +99,7 @@
         self._make_control_plane()
         self._repeats = make_retry_budget(settings)
         self._telemetry = BoundTelemetry()
-        shared = Shared(
+        shared_parts = SharedParts(
             self.configuration,
             self.local,
             self._gate,
@@ -110,8 +113,8 @@
             self._rng,
         )
         dialect = platform_parts.dialect
-        self._target = make_target(settings, dialect, shared, self._weight_of)
-        self._ingress = make_ingress(settings, dialect, shared, self._target)
+        self._target = make_target(settings, dialect, shared_parts, self._weight_of)
+        self._ingress = make_ingress(settings, dialect, shared_parts, self._target)
         self._status = StatusEndpoints(
             StatusParts(
                 self.configuration,
@@ -124,7 +127,9 @@
             self._telemetry,
             lambda: self.ready,
         )
-        self._control = HttpServer(settings.control, control(self), CallerLimits())
+        self._control = HttpServer(
+            settings.control, make_control_handler(self), CallerLimits()
+        )
         self._readiness = HttpServer(
             settings.readiness, self._status.readiness, CallerLimits()
         )
@@ -200,9 +205,9 @@
         """Start the graceful shutdown."""
         self._stopping.set()
 
-    async def record_heartbeat(self, beat: Heartbeat) -> None:
+    async def record_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Record a heartbeat of the local server."""
-        self.local.record_heartbeat(beat, monotonic_s())
+        self.local.record_heartbeat(heartbeat, monotonic_s())
         if self.local.state is not ServerState.READY:
             await self._registration.write_now(DRAIN_WRITE_TIMEOUT_S)
 
@@ -356,6 +361,7 @@
         self._directory.invalidate()
 
     def _members_changed(self) -> None:
+        """Remove expired daemons; update the wanted links and the first shares."""
         self._directory.remove_expired(monotonic_s())
         wanted = wanted_neighbours(self._directory.records(), self._make_record())
         self._links.want(self._directory.addresses(wanted))
--- a/damaskbay/mesh/assembly.py
+++ b/damaskbay/mesh/assembly.py
@@ -12,7 +12,7 @@
 from damaskbay.core.retry.repeats import RepeatBudget, RepeatOptions
 from damaskbay.core.routing import Router, RouterOptions
 from damaskbay.helpers.clock import monotonic_s
-from damaskbay.mesh.config_watch import Decode
+from damaskbay.mesh.config_watch import DecodeConfig
 from damaskbay.mesh.configuration import Configuration
 from damaskbay.mesh.const import RETRY_RATIO_SHARE, RETRY_SLACK_SHARE
 from damaskbay.mesh.dialect import Dialect
@@ -39,14 +39,14 @@
 
     store: Store
     dialect: Dialect
-    decode_config: Decode
+    decode_config: DecodeConfig
     config_prefix: str
     config_key: str
     member_prefix: str
 
 
 @dataclass(frozen=True, slots=True)
-class Shared:
+class SharedParts:
     """Components that ingress and target share."""
 
     configuration: Configuration
@@ -65,7 +65,7 @@
 def make_target(
     settings: MeshSettings,
     dialect: Dialect,
-    shared: Shared,
+    shared_parts: SharedParts,
     weight_of: Callable[[str], float],
 ) -> Target:
     """Return the component that sends calls to the local server."""
@@ -74,13 +74,13 @@
         TargetParts(
             instance=settings.instance,
             pool=settings.pool,
-            local=shared.local,
-            gate=shared.gate,
+            local=shared_parts.local,
+            gate=shared_parts.gate,
             client=HttpClient(settings.server, options),
             dialect=dialect,
-            running=shared.running,
-            telemetry=shared.telemetry,
-            repeats=shared.repeats,
+            running=shared_parts.running,
+            telemetry=shared_parts.telemetry,
+            repeats=shared_parts.repeats,
             weight_of=weight_of,
             clock=monotonic_s,
         )
@@ -88,31 +88,33 @@
 
 
 def make_ingress(
-    settings: MeshSettings, dialect: Dialect, shared: Shared, target: Target
+    settings: MeshSettings, dialect: Dialect, shared_parts: SharedParts, target: Target
 ) -> Ingress:
     """Return the component that serves callers, with its dispatcher."""
-    router = Router(RouterOptions(settings.failure_domain, trust_load=True), shared.rng)
+    router = Router(
+        RouterOptions(settings.failure_domain, trust_load=True), shared_parts.rng
+    )
     dispatcher = Dispatcher(
         DispatchParts(
-            directory=shared.directory,
+            directory=shared_parts.directory,
             router=router,
             target=target,
-            links=shared.links,
+            links=shared_parts.links,
             clock=monotonic_s,
         )
     )
     return Ingress(
         IngressOptions(caller_name=settings.pool, proof_valid_s=settings.revoke_s),
         IngressParts(
-            configuration=shared.configuration,
+            configuration=shared_parts.configuration,
             dispatcher=dispatcher,
-            shares=shared.shares,
-            tokens=shared.tokens,
-            pressure=EdgePressure(shared.rng),
-            running=shared.running,
-            telemetry=shared.telemetry,
+            shares=shared_parts.shares,
+            tokens=shared_parts.tokens,
+            pressure=EdgePressure(shared_parts.rng),
+            running=shared_parts.running,
+            telemetry=shared_parts.telemetry,
             dialect=dialect,
-            rng=shared.rng,
+            rng=shared_parts.rng,
             clock=monotonic_s,
         ),
     )
--- a/damaskbay/mesh/config_watch.py
+++ b/damaskbay/mesh/config_watch.py
@@ -35,7 +35,7 @@
 PEER_TIMEOUT_S = 1.0
 """Timeout of a request to a peer, seconds; an unresponsive link fails after as long."""
 
-Decode = Callable[[bytes], ConfigSet | str]
+DecodeConfig = Callable[[bytes], ConfigSet | str]
 """Returns the configuration set in a stored value, or why the value is invalid."""
 
 
@@ -48,7 +48,7 @@
         *,
         prefix: str,
         key: str,
-        decode: Decode,
+        decode: DecodeConfig,
         configuration: Configuration,
         needed: Callable[[], bool],
         clock: Callable[[], float],
--- a/damaskbay/mesh/gate.py
+++ b/damaskbay/mesh/gate.py
@@ -101,7 +101,7 @@
         self._apply_decisions(self._controller.set_slots(slots, now))
 
     async def run_expiry(self, clock: Callable[[], float]) -> None:
-        """Refuse calls that wait too long, until cancelled; idle if none waits."""
+        """Refuse calls that wait too long, until cancelled; sleep while none waits."""
         while True:
             await self._queued.wait()
             await asyncio.sleep(EXPIRE_INTERVAL_S)
--- a/damaskbay/mesh/local_server.py
+++ b/damaskbay/mesh/local_server.py
@@ -47,27 +47,27 @@
         """Return when the server started, in milliseconds since 1970."""
         return max(0, self._born_ms)
 
-    def record_heartbeat(self, beat: Heartbeat, now: float) -> bool:
+    def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
         """Record a report; return False if it is older than the last one."""
-        order = (beat.born_ms, beat.sequence)
+        order = (heartbeat.born_ms, heartbeat.sequence)
         if order <= (self._born_ms, self._sequence):
             return False
-        restarted = beat.born_ms != self._born_ms
+        restarted = heartbeat.born_ms != self._born_ms
         self._born_ms, self._sequence = order
         if not restarted and self.state in (ServerState.DRAINING, ServerState.GONE):
             return True
-        changed = (beat.server, beat.slots, beat.state) != (
+        changed = (heartbeat.server, heartbeat.slots, heartbeat.state) != (
             self.server,
             self.slots,
             self.state,
         )
-        self.server = beat.server
-        self.slots = beat.slots
-        self.slow_until = now + beat.cold_s
+        self.server = heartbeat.server
+        self.slots = heartbeat.slots
+        self.slow_until = now + heartbeat.cold_s
         if restarted:
             self._send_until = None
-        was_draining = self._restored_draining == (beat.server, beat.born_ms)
-        self._set_state(ServerState.DRAINING if was_draining else beat.state, now)
+        was_draining = self._restored_draining == (heartbeat.server, heartbeat.born_ms)
+        self._set_state(ServerState.DRAINING if was_draining else heartbeat.state, now)
         if changed:
             self._on_change()
         return True
--- a/tests/mesh/common.py
+++ b/tests/mesh/common.py
@@ -75,10 +75,10 @@
 
     daemon: MeshDaemon
     backend: Backend
-    run: "asyncio.Task[None]"
+    run_task: "asyncio.Task[None]"
     sequence: int = 0
 
-    async def beat(self, state: str = "ready", slots: int = 8) -> int:
+    async def send_heartbeat(self, state: str = "ready", slots: int = 8) -> int:
         """Send a heartbeat as the server does; return the response status."""
         self.sequence += 1
         report = {
@@ -157,7 +157,7 @@
             HttpServer(backend.address, backend.serve, CallerLimits())
         )
         node = await self.add_daemon(name, backend, **changes)
-        assert await node.beat() == 200
+        assert await node.send_heartbeat() == 200
         return node
 
     async def add_daemon(self, name: str, backend: Backend, **changes: Any) -> Node:
@@ -183,17 +183,17 @@
         daemon = MeshDaemon(settings, platform_parts, control)
         node = Node(daemon, backend, asyncio.create_task(daemon.run()))
         self.nodes[name] = node
-        self._stack.callback(node.run.cancel)
-        await until(lambda: daemon.ready or node.run.done())
-        if node.run.done():
-            node.run.result()
+        self._stack.callback(node.run_task.cancel)
+        await wait_until(lambda: daemon.ready or node.run_task.done())
+        if node.run_task.done():
+            node.run_task.result()
         return node
 
-    async def settle(self) -> None:
+    async def wait_until_connected(self) -> None:
         """Wait until every daemon knows every server."""
         count = len(self.nodes)
         for node in self.nodes.values():
-            await until(lambda node=node: _reachable_servers(node) == count)  # type: ignore[misc]
+            await wait_until(lambda node=node: _reachable_servers(node) == count)  # type: ignore[misc]
 
 
 def _reachable_servers(node: Node) -> int:
@@ -211,12 +211,12 @@
         await fleet.publish()
         for name, pool in nodes.items():
             await fleet.add(name, pool)
-        await fleet.settle()
+        await fleet.wait_until_connected()
         async with asyncio.timeout(4 * WAIT_S):
             yield fleet
 
 
-async def until(holds: Callable[[], bool]) -> None:
+async def wait_until(holds: Callable[[], bool]) -> None:
     """Wait until a condition holds."""
     async with asyncio.timeout(WAIT_S):
         while not holds():
--- a/tests/mesh/test_explaining.py
+++ b/tests/mesh/test_explaining.py
@@ -15,7 +15,7 @@
 from damaskbay.core.call import Answer, Request
 from damaskbay.helpers.logs import JSON_FORMAT
 from tests.common import function_suite
-from tests.mesh.common import Fleet, run_fleet, until
+from tests.mesh.common import Fleet, run_fleet, wait_until
 
 
 @contextlib.contextmanager
@@ -60,7 +60,7 @@
     async def check(fleet: Fleet) -> None:
         await fleet.publish(rate=1)
         node = fleet.nodes["a"]
-        await until(lambda: node.daemon.configuration.version == 2)
+        await wait_until(lambda: node.daemon.configuration.version == 2)
         for _ in range(60):
             await node.request("/safe/")
         answer = await node.request("/safe/", request_id="over")
--- a/tests/mesh/test_fleet.py
+++ b/tests/mesh/test_fleet.py
@@ -10,7 +10,7 @@
 from damaskbay.helpers.clock import monotonic_s
 from damaskbay.ports.peer import PeerAddress
 from tests.common import function_suite
-from tests.mesh.common import HOST, WAIT_S, Fleet, Node, run_fleet, until
+from tests.mesh.common import HOST, WAIT_S, Fleet, Node, run_fleet, wait_until
 
 REVOKE_S = 5.0
 """Time limit for the use of a withdrawn key, as in the fleet's settings."""
@@ -79,7 +79,7 @@
     async def check(fleet: Fleet) -> None:
         await fleet.publish(keys=("k2",))
         for node in fleet.nodes.values():
-            await until(partial(_has_version, node, 2))
+            await wait_until(partial(_has_version, node, 2))
             assert (await node.request("/safe/")).status == 401
             assert (await node.request("/safe/", key="k2")).status == 200
 
@@ -138,7 +138,7 @@
         store._client.address = fleet.nodes["b"].backend.address  # type: ignore[attr-defined]
         store._client.close()  # type: ignore[attr-defined]
         await fleet.publish(keys=("k1", "k2"))
-        await until(lambda: cut_off.configuration.version == 2)
+        await wait_until(lambda: cut_off.configuration.version == 2)
         await asyncio.sleep(3.0)
         age_s = cut_off.configuration.proof_age_s(asyncio.get_running_loop().time())
         assert age_s is not None
@@ -191,7 +191,7 @@
     """Its report is acknowledged, and other servers get the calls."""
 
     async def check(fleet: Fleet) -> None:
-        assert await fleet.nodes["a"].beat("draining") == 200
+        assert await fleet.nodes["a"].send_heartbeat("draining") == 200
         before = len(fleet.nodes["a"].backend.seen)
         for _ in range(10):
             answer = await fleet.nodes["c"].request("/safe/")
@@ -207,7 +207,7 @@
     async def check(fleet: Fleet) -> None:
         await fleet.publish(Timeout="300ms")
         node = fleet.nodes["b"]
-        await until(lambda: node.daemon.configuration.version == 2)
+        await wait_until(lambda: node.daemon.configuration.version == 2)
 
         async def stuck(_request: Request) -> Answer | None:
             await asyncio.sleep(30)
@@ -242,7 +242,7 @@
             assert answer.status == 200
         assert not fleet.nodes["a"].daemon.ready
         assert (await fleet.nodes["b"].request("/safe/")).status == 200
-        await fleet.nodes["a"].run
+        await fleet.nodes["a"].run_task
         assert (await fleet.nodes["b"].request("/safe/")).status == 503
 
     _run(check, a="one", b="two")
@@ -266,7 +266,7 @@
     async def check(fleet: Fleet) -> None:
         node = fleet.nodes["b"]
         settings = node.daemon.settings
-        node.run.cancel()
+        node.run_task.cancel()
         await asyncio.sleep(0.1)
         fleet.kv.faults.status = 503
         restarted = await fleet.add_daemon(
@@ -276,7 +276,7 @@
             control=settings.control,
             peers=settings.peers,
         )
-        assert await restarted.beat() == 200
+        assert await restarted.send_heartbeat() == 200
         async with asyncio.timeout(WAIT_S):
             while (await restarted.request("/open/", key=None)).status != 200:
                 await asyncio.sleep(0.05)
@@ -291,7 +291,7 @@
         await fleet.publish(rate=4)
         nodes = list(fleet.nodes.values())
         for node in nodes:
-            await until(lambda node=node: _has_version(node, 2))  # type: ignore[misc]
+            await wait_until(lambda node=node: _has_version(node, 2))  # type: ignore[misc]
         await asyncio.sleep(2.0)
         counts: dict[str, list[int]] = {}
         for name in ("a", "b", "c"):
