--- a/damaskbay/mesh/config_watch.py
+++ b/damaskbay/mesh/config_watch.py
@@ -33,7 +33,7 @@
 """Peers that are polled at once."""
 
 PEER_TIMEOUT_S = 1.0
-"""Timeout of a request to a peer, seconds; an unresponsive link fails after as long."""
+"""Timeout of a request to a peer, seconds; an unresponsive link is suspect by then."""
 
 DecodeConfig = Callable[[bytes], ConfigSet | str]
 """Returns the configuration set in a stored value, or why the value is invalid."""
--- a/tests/mesh/test_stopping.py
+++ b/tests/mesh/test_stopping.py
@@ -23,10 +23,10 @@
 
 
 def _stop(server: HttpServer, in_flight: int) -> GracefulStop:
-    parts: Any = SimpleNamespace(in_flight=0, draining=False)
+    ingress: Any = SimpleNamespace(in_flight=0, draining=False)
     target: Any = SimpleNamespace(in_flight=in_flight, draining=False)
     links: Any = SimpleNamespace(tell_all=lambda: None)
-    return GracefulStop(server, parts, target, links)
+    return GracefulStop(server, ingress, target, links)
 
 
 async def _request(server: HttpServer) -> Answer | HttpFailure:
