--- a/damaskbay/mesh/config_watch.py
+++ b/damaskbay/mesh/config_watch.py
@@ -33,9 +33,9 @@
 """Peers that are polled at once."""
 
 PEER_TIMEOUT_S = 1.0
-"""Timeout of a request to a peer, seconds; an unresponsive link fails as soon."""
+"""Timeout of a request to a peer, seconds; an unresponsive link is suspect by then."""
 
-Decode = Callable[[bytes], ConfigSet | str]
+DecodeConfig = Callable[[bytes], ConfigSet | str]
 """Returns the configuration set in a stored value, or why the value is invalid."""
 
 
@@ -48,7 +48,7 @@
         *,
         prefix: str,
         key: str,
-        decode: Decode,
+        decode: DecodeConfig,
         configuration: Configuration,
         needed: Callable[[], bool],
         clock: Callable[[], float],
--- a/damaskbay/mesh/gate.py
+++ b/damaskbay/mesh/gate.py
@@ -23,7 +23,7 @@
 """Seconds between checks for queued calls that have waited too long."""
 
 MAX_WAIT_SHARE = 0.5
-"""Part of its objective that a new call may wait for a slot, or it is refused."""
+"""Part of its latency objective that a root call may wait, or it is refused."""
 
 
 class Gate:
@@ -101,7 +101,7 @@
         self._apply_decisions(self._controller.set_slots(slots, now))
 
     async def run_expiry(self, clock: Callable[[], float]) -> None:
-        """Refuse calls that wait too long, until cancelled; idle if none waits."""
+        """Refuse calls that wait too long, until cancelled; sleep while none waits."""
         while True:
             await self._queued.wait()
             await asyncio.sleep(EXPIRE_INTERVAL_S)
--- a/tests/mesh/common.py
+++ b/tests/mesh/common.py
@@ -14,7 +14,7 @@
 from damaskbay.config.objects import CallerLimits
 from damaskbay.core.call import Answer, Headers, Request
 from damaskbay.mesh.app import MeshDaemon
-from damaskbay.mesh.assembly import Surroundings
+from damaskbay.mesh.assembly import PlatformParts
 from damaskbay.mesh.settings import MeshSettings
 from damaskbay.platform.__main__ import decode_config
 from damaskbay.platform.const import (
@@ -41,20 +41,20 @@
 
 @dataclass
 class Backend:
-    """A backend server; `behave` may override its responses."""
+    """A backend server; `override_response` may override its responses."""
 
     pool: str
     server: str
     address: PeerAddress
     seen: list[Request] = field(default_factory=list)
-    behave: Callable[[Request], Awaitable[Answer | None]] | None = None
+    override_response: Callable[[Request], Awaitable[Answer | None]] | None = None
 
     async def serve(self, arrival: Arrival) -> Answer:
-        """Return the usual response, or the one that `behave` returns."""
+        """Return the usual response, or the one that `override_response` returns."""
         request = arrival.request
         self.seen.append(request)
-        if self.behave is not None:
-            override = await self.behave(request)
+        if self.override_response is not None:
+            override = await self.override_response(request)
             if override is not None:
                 return override
         headers = dict(request.headers)
@@ -75,10 +75,10 @@
 
     daemon: MeshDaemon
     backend: Backend
-    run: "asyncio.Task[None]"
+    run_task: "asyncio.Task[None]"
     sequence: int = 0
 
-    async def beat(self, state: str = "ready", slots: int = 8) -> int:
+    async def send_heartbeat(self, state: str = "ready", slots: int = 8) -> int:
         """Send a heartbeat as the server does; return the response status."""
         self.sequence += 1
         report = {
@@ -157,13 +157,13 @@
             HttpServer(backend.address, backend.serve, CallerLimits())
         )
         node = await self.add_daemon(name, backend, **changes)
-        assert await node.beat() == 200
+        assert await node.send_heartbeat() == 200
         return node
 
     async def add_daemon(self, name: str, backend: Backend, **changes: Any) -> Node:
         """Start a daemon for a running server and wait until it serves."""
         settings = _settings(name, backend, self._store_address, changes)
-        surroundings = Surroundings(
+        platform_parts = PlatformParts(
             KvStore(settings.store),
             DIALECT,
             decode_config,
@@ -176,24 +176,24 @@
             return HeartbeatListener(
                 backend.pool,
                 backend.address,
-                daemon.take_heartbeat,
-                daemon.take_leave,
+                daemon.record_heartbeat,
+                daemon.record_deregistration,
             ).serve
 
-        daemon = MeshDaemon(settings, surroundings, control)
+        daemon = MeshDaemon(settings, platform_parts, control)
         node = Node(daemon, backend, asyncio.create_task(daemon.run()))
         self.nodes[name] = node
-        self._stack.callback(node.run.cancel)
-        await until(lambda: daemon.ready or node.run.done())
-        if node.run.done():
-            node.run.result()
+        self._stack.callback(node.run_task.cancel)
+        await wait_until(lambda: daemon.ready or node.run_task.done())
+        if node.run_task.done():
+            node.run_task.result()
         return node
 
-    async def settle(self) -> None:
+    async def wait_until_connected(self) -> None:
         """Wait until every daemon knows every server."""
         count = len(self.nodes)
         for node in self.nodes.values():
-            await until(lambda node=node: _reachable_servers(node) == count)  # type: ignore[misc]
+            await wait_until(lambda node=node: _reachable_servers(node) == count)  # type: ignore[misc]
 
 
 def _reachable_servers(node: Node) -> int:
@@ -211,12 +211,12 @@
         await fleet.publish()
         for name, pool in nodes.items():
             await fleet.add(name, pool)
-        await fleet.settle()
+        await fleet.wait_until_connected()
         async with asyncio.timeout(4 * WAIT_S):
             yield fleet
 
 
-async def until(holds: Callable[[], bool]) -> None:
+async def wait_until(holds: Callable[[], bool]) -> None:
     """Wait until a condition holds."""
     async with asyncio.timeout(WAIT_S):
         while not holds():
--- a/tests/mesh/test_fleet.py
+++ b/tests/mesh/test_fleet.py
@@ -10,7 +10,7 @@
 from damaskbay.helpers.clock import monotonic_s
 from damaskbay.ports.peer import PeerAddress
 from tests.common import function_suite
-from tests.mesh.common import HOST, WAIT_S, Fleet, Node, run_fleet, until
+from tests.mesh.common import HOST, WAIT_S, Fleet, Node, run_fleet, wait_until
 
 REVOKE_S = 5.0
 """Time limit for the use of a withdrawn key, as in the fleet's settings."""
@@ -79,7 +79,7 @@
     async def check(fleet: Fleet) -> None:
         await fleet.publish(keys=("k2",))
         for node in fleet.nodes.values():
-            await until(partial(_has_version, node, 2))
+            await wait_until(partial(_has_version, node, 2))
             assert (await node.request("/safe/")).status == 401
             assert (await node.request("/safe/", key="k2")).status == 200
 
@@ -92,7 +92,7 @@
     async def check(fleet: Fleet) -> None:
         node = fleet.nodes["a"]
         await asyncio.sleep(STEADY_S)
-        fleet.kv.faults.deaf = True
+        fleet.kv.faults.drop_watch_events = True
         await fleet.publish(keys=("k2",))
         withdrawn_at = monotonic_s()
         await asyncio.sleep(WATCH_GAP_S)
@@ -134,11 +134,11 @@
 
     async def check(fleet: Fleet) -> None:
         cut_off = fleet.nodes["b"].daemon
-        store = cut_off._surroundings.store
+        store = cut_off._platform_parts.store
         store._client.address = fleet.nodes["b"].backend.address  # type: ignore[attr-defined]
         store._client.close()  # type: ignore[attr-defined]
         await fleet.publish(keys=("k1", "k2"))
-        await until(lambda: cut_off.configuration.version == 2)
+        await wait_until(lambda: cut_off.configuration.version == 2)
         await asyncio.sleep(3.0)
         age_s = cut_off.configuration.proof_age_s(asyncio.get_running_loop().time())
         assert age_s is not None
@@ -160,7 +160,7 @@
             return None
 
         for name in ("a", "b"):
-            fleet.nodes[name].backend.behave = lose_response
+            fleet.nodes[name].backend.override_response = lose_response
         unsafe = await fleet.nodes["c"].request("/unsafe/", method="POST")
         assert unsafe.status == 502
         seen = [fleet.nodes[name].backend.seen for name in ("a", "b")]
@@ -179,7 +179,7 @@
             named = ("X-Request-Id", dict(request.headers)["X-Request-Id"])
             return Answer(503, (named, ("X-Not-Executed", "1")))
 
-        fleet.nodes["a"].backend.behave = full
+        fleet.nodes["a"].backend.override_response = full
         answer = await fleet.nodes["b"].request("/unsafe/", method="POST")
         assert answer.status == 503
         assert _header(answer, "Retry-After") is not None
@@ -191,7 +191,7 @@
     """Its report is acknowledged, and other servers get the calls."""
 
     async def check(fleet: Fleet) -> None:
-        assert await fleet.nodes["a"].beat("draining") == 200
+        assert await fleet.nodes["a"].send_heartbeat("draining") == 200
         before = len(fleet.nodes["a"].backend.seen)
         for _ in range(10):
             answer = await fleet.nodes["c"].request("/safe/")
@@ -207,13 +207,13 @@
     async def check(fleet: Fleet) -> None:
         await fleet.publish(Timeout="300ms")
         node = fleet.nodes["b"]
-        await until(lambda: node.daemon.configuration.version == 2)
+        await wait_until(lambda: node.daemon.configuration.version == 2)
 
         async def stuck(_request: Request) -> Answer | None:
             await asyncio.sleep(30)
             return None
 
-        fleet.nodes["a"].backend.behave = stuck
+        fleet.nodes["a"].backend.override_response = stuck
         started_at = asyncio.get_running_loop().time()
         answer = await node.request("/safe/")
         took_s = asyncio.get_running_loop().time() - started_at
@@ -231,7 +231,7 @@
             await asyncio.sleep(1.0)
             return None
 
-        fleet.nodes["a"].backend.behave = slow
+        fleet.nodes["a"].backend.override_response = slow
         requests = [
             asyncio.create_task(fleet.nodes[name].request("/safe/"))
             for name in ("a", "b")
@@ -242,7 +242,7 @@
             assert answer.status == 200
         assert not fleet.nodes["a"].daemon.ready
         assert (await fleet.nodes["b"].request("/safe/")).status == 200
-        await fleet.nodes["a"].run
+        await fleet.nodes["a"].run_task
         assert (await fleet.nodes["b"].request("/safe/")).status == 503
 
     _run(check, a="one", b="two")
@@ -266,7 +266,7 @@
     async def check(fleet: Fleet) -> None:
         node = fleet.nodes["b"]
         settings = node.daemon.settings
-        node.run.cancel()
+        node.run_task.cancel()
         await asyncio.sleep(0.1)
         fleet.kv.faults.status = 503
         restarted = await fleet.add_daemon(
@@ -276,7 +276,7 @@
             control=settings.control,
             peers=settings.peers,
         )
-        assert await restarted.beat() == 200
+        assert await restarted.send_heartbeat() == 200
         async with asyncio.timeout(WAIT_S):
             while (await restarted.request("/open/", key=None)).status != 200:
                 await asyncio.sleep(0.05)
@@ -291,7 +291,7 @@
         await fleet.publish(rate=4)
         nodes = list(fleet.nodes.values())
         for node in nodes:
-            await until(lambda node=node: _has_version(node, 2))  # type: ignore[misc]
+            await wait_until(lambda node=node: _has_version(node, 2))  # type: ignore[misc]
         await asyncio.sleep(2.0)
         counts: dict[str, list[int]] = {}
         for name in ("a", "b", "c"):
