--- a/damaskbay/cli/documents.py
+++ b/damaskbay/cli/documents.py
@@ -71,14 +71,14 @@
 
 
 def _change_line(change: ObjectChange, before: Document | None) -> str:
-    place = f"{change.kind}/{change.name}"
+    object_path = f"{change.kind}/{change.name}"
     if change.body is None:
-        return f"- {place}"
+        return f"- {object_path}"
     new = json.loads(change.body)
     old_item = before and before.objects(Kind(change.kind)).get(change.name)
     if not old_item:
         marker = "~" if before is None else "+"
-        return f"{marker} {place}: {_field_list(new)}"
+        return f"{marker} {object_path}: {_field_list(new)}"
     old = to_plain(old_item)
     names = sorted(
         name for name in old.keys() | new.keys() if _field_differs(old, new, name)
@@ -86,7 +86,7 @@
     parts = (
         f"{name} {_field_text(old, name)} -> {_field_text(new, name)}" for name in names
     )
-    return f"~ {place}: {', '.join(parts)}"
+    return f"~ {object_path}: {', '.join(parts)}"
 
 
 def _field_differs(old: dict[str, Any], new: dict[str, Any], name: str) -> bool:
--- a/damaskbay/cli/explain.py
+++ b/damaskbay/cli/explain.py
@@ -71,9 +71,9 @@
         for name, item in found:
             print(_decision_line(name, item))
         if not found:
-            print("explain: nothing remembered")
+            print("explain: no decision is recorded")
     for failure in unresponsive:
-        print(f"{failure.address}: no answer: {failure.detail}", file=sys.stderr)
+        print(f"{failure.address}: no response: {failure.detail}", file=sys.stderr)
 
 
 def _decision_line(instance: str, item: DecisionModel) -> str:
--- a/damaskbay/cli/keys.py
+++ b/damaskbay/cli/keys.py
@@ -89,8 +89,8 @@
     if settings and options.name in base.keys_by_name:
         message = f"the key {options.name!r} exists: choose another name"
         raise CommandError(message, EXIT_INVALID)
-    place = f"{Kind.KEYS.value}/{options.name}"
-    result = apply_overrides(base, [Override(place, settings)])
+    object_path = f"{Kind.KEYS.value}/{options.name}"
+    result = apply_overrides(base, [Override(object_path, settings)])
     if not isinstance(result, Document):
         print_problems(result, as_json=options.json)
         raise CommandError("nothing was published", EXIT_INVALID)
--- a/damaskbay/cli/operator_client.py
+++ b/damaskbay/cli/operator_client.py
@@ -38,7 +38,9 @@
     try:
         return model.model_validate_json(data)
     except ValidationError as error:
-        return NoResponse(address, f"unreadable: {error.error_count()} faults")
+        return NoResponse(
+            address, f"unreadable: {error.error_count()} validation errors"
+        )
 
 
 def parse_address(text: str) -> PeerAddress | None:
--- a/damaskbay/cli/platform.py
+++ b/damaskbay/cli/platform.py
@@ -22,7 +22,7 @@
         epilog="example: damaskbay platform --port 7400",
     )
     parser.add_argument("--host", default="127.0.0.1", help="IP number")
-    parser.add_argument("--port", type=int, default=0, help="default: any free one")
+    parser.add_argument("--port", type=int, default=0, help="default: a free port")
     parser.add_argument(
         "--threads",
         type=int,
--- a/damaskbay/cli/publish.py
+++ b/damaskbay/cli/publish.py
@@ -93,11 +93,13 @@
 
 
 def _overrides(options: argparse.Namespace) -> list[Override]:
-    overrides = [Override(place) for place in options.remove]
-    for place, *settings in options.override:
+    overrides = [Override(object_path) for object_path in options.remove]
+    for object_path, *settings in options.override:
         if not settings:
-            raise CommandError(f"--override {place}: give FIELD=VALUE", EXIT_USAGE)
-        overrides.append(Override(place, tuple(settings)))
+            raise CommandError(
+                f"--override {object_path}: give FIELD=VALUE", EXIT_USAGE
+            )
+        overrides.append(Override(object_path, tuple(settings)))
     return overrides
 
 
--- a/damaskbay/cli/publishing.py
+++ b/damaskbay/cli/publishing.py
@@ -38,13 +38,15 @@
 def add_author_option(parser: argparse.ArgumentParser) -> None:
     """Add `--author`."""
     parser.add_argument(
-        "--author", default=_user(), help="name kept with the version (default: you)"
+        "--author",
+        default=_user_name(),
+        help="name kept with the version (default: you)",
     )
 
 
 def publish(platform: Platform, publication: Publication, *, as_json: bool) -> int:
     """Publish, print the outcome and return the exit code."""
-    with Progress("publish: calls to the platform") as progress:
+    with Progress("publish: writes to the platform") as progress:
         publisher = Publisher(platform, progress=progress)
         result = publisher.publish(publication)
     return report(result, as_json=as_json)
@@ -77,14 +79,14 @@
         case Published(record, newest):
             print(f"Published version {record.version}, digest {record.digest[:12]}.")
             if not newest:
-                print("A newer version is in force by now.")
+                print("A newer version is active already.")
         case Unchanged(record):
-            print(f"Version {record.version} is this very set: nothing to publish.")
+            print(f"Version {record.version} has the same content: nothing to publish.")
         case PublishConflict():
             _print_conflict(result)
         case PublishUnknown(publish_id, detail):
             print(f"The outcome is unknown: {detail}.")
-            print(f"Run it again with --publish-id {publish_id} to settle it.")
+            print(f"Retry with --publish-id {publish_id} to find out.")
         case PublishFailure(problem, detail, problems):
             print(f"Nothing was published: {problem.value}: {detail}")
             print_problems(problems[1:], as_json=False)
@@ -101,7 +103,7 @@
         f"force, not {conflict.expected_version}."
     )
     if conflict.changes is None:
-        print("What changed since is no longer known.")
+        print("The changes since then are no longer kept.")
         return
     print(f"Changed since version {conflict.expected_version}:")
     print_changes(conflict.changes)
@@ -138,7 +140,7 @@
     return plain
 
 
-def _user() -> str:
+def _user_name() -> str:
     try:
         return getpass.getuser()
     except (KeyError, OSError):
--- a/damaskbay/cli/status.py
+++ b/damaskbay/cli/status.py
@@ -70,13 +70,13 @@
             )
         )
     for failure in unresponsive:
-        print(f"{failure.address}: no answer: {failure.detail}")
+        print(f"{failure.address}: no response: {failure.detail}")
 
 
 def _state(item: StatusModel) -> str:
     conditions = list(item.why_not_ready)
     if item.platform_outage_for_all:
-        conditions.append("platform out for all")
+        conditions.append("platform outage for all daemons")
     elif item.cut_off:
         conditions.append("cut off")
     return ", ".join(conditions) or "ready"
--- a/damaskbay/cli/trace.py
+++ b/damaskbay/cli/trace.py
@@ -37,10 +37,10 @@
     """Print the matching log lines, ordered by time and indented by call depth."""
     found = sorted(
         _records_of(options.request_id, _read_lines(options.files)),
-        key=lambda line: str(line.get("asctime", "")),
+        key=lambda record: str(record.get("asctime", "")),
     )
-    for line in found:
-        print(_format_record(line))
+    for record in found:
+        print(_format_record(record))
     if not found:
         print(f"no line names {options.request_id}", file=sys.stderr)
         return EXIT_FAILED
--- a/damaskbay/config/canonical.py
+++ b/damaskbay/config/canonical.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """The canonical bytes of one bucket of objects, with their SHA-256 in hex."""
+    """The canonical bytes of one part of a set, with their SHA-256 in hex."""
 
     digest: str
     body: bytes
--- a/damaskbay/config/check_changed.py
+++ b/damaskbay/config/check_changed.py
@@ -27,7 +27,7 @@
     before: Document, after: Document, changes: Collection[Change]
 ) -> Problems:
     """
-    Return the problems of a document that changes a checked one.
+    Return the problems of a document that results from changing a checked one.
 
     The result equals `check(after)`. Only what the changes can have broken is
     checked first; the complete set is checked if that finds a problem, or if the
@@ -75,15 +75,19 @@
         yield from rank_problems(after.priorities_by_name.values())
     if keys:
         digests = {key.digest for key in keys}
-        same = (key for key in after.keys_by_name.values() if key.digest in digests)
-        yield from digest_problems(same)
+        same_digest = (
+            key for key in after.keys_by_name.values() if key.digest in digests
+        )
+        yield from digest_problems(same_digest)
     if routes:
         names = {kind: after.objects(kind).keys() for kind in Kind}
-        affected = _affected(routes, after.routes_by_name)
+        affected = _affected_routes(routes, after.routes_by_name)
         yield from problems_except_limits(affected, after.routes_by_name, names)
 
 
-def _affected(changed: set[str], routes: Mapping[str, Route]) -> dict[str, Route]:
+def _affected_routes(
+    changed: set[str], routes: Mapping[str, Route]
+) -> dict[str, Route]:
     """
     Return the routes that a change of some routes can break, in document order.
 
--- a/damaskbay/config/const.py
+++ b/damaskbay/config/const.py
@@ -5,7 +5,7 @@
 DOCUMENT_FORMAT: Final = 1
 MAX_DOCUMENT_BYTES: Final = 16 * 1024 * 1024
 PART_COUNT: Final = 64
-"""Buckets of a set; the digest of an object's kind and name selects its bucket."""
+"""Number of parts of a set; a hash of an object's kind and name selects its part."""
 
 MAX_OBJECTS: Final = 100_000
 MAX_NAME_LENGTH: Final = 64
@@ -23,7 +23,7 @@
 MAX_UNPROVEN_AFTER_S: Final = 7 * 86_400.0
 MAX_PROBLEMS: Final = 1000
 MAX_INCREMENTAL_CHANGES: Final = 200
-"""With more changes, the complete set is checked instead of the changes."""
+"""Above this number of changes, the complete set is checked."""
 
 ANY_HOST: Final = "*"
 
--- a/damaskbay/config/document.py
+++ b/damaskbay/config/document.py
@@ -37,8 +37,8 @@
     A complete set in which each object is valid by itself.
 
     config.check reports inconsistencies between objects. Collections are never
-    modified. `parts` holds the canonical bytes of all objects, spread over
-    PART_COUNT buckets; `digest` is in hex.
+    modified. `parts` holds the canonical bytes of all objects in
+    PART_COUNT parts; `digest` is in hex.
     """
 
     workspaces_by_name: Mapping[str, Workspace]
--- a/damaskbay/config/housekeeping.py
+++ b/damaskbay/config/housekeeping.py
@@ -1,4 +1,4 @@
-"""Storage of the values and history of a publication; removal of old ones."""
+"""Writes the values and history of a publication and removes obsolete ones."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -37,14 +37,15 @@
 
 class Housekeeping:
     """
-    Writes the values that a new head needs and removes those no version needs.
+    Writes the values that a new head needs; removes those that no kept version needs.
 
     Racing publishers are safe: obsolete entries are looked up before the swap of
     the head and deleted only after the swap succeeded, at the revision seen
-    before it. A publisher that needs such a value again first rewrites it, which
-    changes its revision, so the delete fails. If it rewrote the value before this
-    swap of the head, its own swap fails. The pending record of a publication that
-    lost the race or was aborted lists the values that it wrote.
+    before it. Another publisher that needs such a value again rewrites it first,
+    which changes its revision, so the delete fails. If it rewrote the value
+    before this publisher's swap, its own swap fails, as the head has changed. The
+    pending record of a publication that lost the race or was aborted lists the
+    values that it wrote.
     """
 
     def __init__(self, platform: Platform, retry: _Retry, deadline: float) -> None:
--- a/damaskbay/config/matching.py
+++ b/damaskbay/config/matching.py
@@ -1,4 +1,4 @@
-"""Route lookup by host, method and path, with dictionary reads only."""
+"""Route lookup by host, method and path, with dictionary lookups only."""
 
 from collections import defaultdict
 from collections.abc import Iterator
--- a/damaskbay/config/parsing.py
+++ b/damaskbay/config/parsing.py
@@ -78,7 +78,7 @@
         parsed.problems.append(_document_problem(what, "Remove objects."))
         return None
 
-    def collect(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    def record_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
         result = dict(pairs)
         if len(result) != len(pairs):
             parsed.problems.extend(_duplicate_problems(pairs))
@@ -86,7 +86,7 @@
 
     try:
         return json.loads(
-            data, object_pairs_hook=collect, parse_constant=_reject_constant
+            data, object_pairs_hook=record_duplicates, parse_constant=_reject_constant
         )
     except (ValueError, RecursionError) as error:
         what = f"is not JSON: {error}"
@@ -150,10 +150,10 @@
             parsed.invalid_names[kind].add(name)
             parsed.problems.extend(_problems_of_error(kind, name, error))
             continue
-        parsed.objects[kind][name] = _build(cls, name, item)
+        parsed.objects[kind][name] = _to_data_class(cls, name, item)
 
 
-def _build(cls: type[Any], name: str, item: BaseModel) -> Any:
+def _to_data_class(cls: type[Any], name: str, item: BaseModel) -> Any:
     return cls(name=name, **item.__dict__)
 
 
@@ -162,7 +162,7 @@
 ) -> Iterator[Problem]:
     name_is_invalid = error.title != MODELS_BY_KIND[kind].__name__
     for detail in error.errors(include_url=False, include_context=False):
-        place = ".".join(str(part) for part in detail["loc"])
+        field_path = ".".join(str(part) for part in detail["loc"])
         message = detail["msg"][:1].lower() + detail["msg"][1:]
         input_text = (
             "" if detail["type"] == "missing" else f" ({_abbreviate(detail['input'])})"
@@ -171,7 +171,7 @@
         yield Problem(
             kind.value,
             _abbreviate(name) if name_is_invalid else name,
-            "name" if name_is_invalid else place,
+            "name" if name_is_invalid else field_path,
             message + input_text,
             mend,
         )
--- a/damaskbay/config/publishing.py
+++ b/damaskbay/config/publishing.py
@@ -101,7 +101,7 @@
 
     One of several racing publishers wins each version; the others get a
     PublishConflict. After a lost reply the same compare-and-swap is sent again,
-    so a delayed first copy cannot win as well, and the publish id shows whether
+    so a delayed first request cannot take effect too, and the publish id shows whether
     the write took effect.
 
     `progress` is called after each write request with the number of them so far.
--- a/damaskbay/config/ranks.py
+++ b/damaskbay/config/ranks.py
@@ -5,7 +5,7 @@
 
 class Ranks:
     """
-    Rank of each pair of workspace and route priority; 0 is the most important.
+    Ranks of calls by workspace priority, then route priority; 0 is most important.
 
     A workspace without a priority, and a call without a workspace, has the highest
     workspace priority.
@@ -23,7 +23,9 @@
             for item in config.routes_by_name.values()
         }
         pairs = sorted(
-            (first, second) for first in workspace_ranks | {0} for second in route_ranks
+            (workspace_rank, route_rank)
+            for workspace_rank in workspace_ranks | {0}
+            for route_rank in route_ranks
         )
         self._rank_by_pair = {
             pair: rank_of_pair for rank_of_pair, pair in enumerate(pairs)
@@ -31,8 +33,8 @@
 
     def rank(self, route: Route, workspace: Workspace | None) -> int:
         """Return the rank of a request; 0 is the most important."""
-        first = self._workspace_rank(workspace)
-        return self._rank_by_pair[first, self._priority_rank(route.priority)]
+        workspace_rank = self._workspace_rank(workspace)
+        return self._rank_by_pair[workspace_rank, self._priority_rank(route.priority)]
 
     def _workspace_rank(self, workspace: Workspace | None) -> int:
         if not isinstance(workspace, RankedWorkspace):
--- a/damaskbay/stand_ins/backend.py
+++ b/damaskbay/stand_ins/backend.py
@@ -57,7 +57,13 @@
 
 @dataclass(slots=True)
 class BackendState:
-    """Fault settings and records, readable and writable while the stand-in runs."""
+    """
+    Fault settings and records, readable and writable while the stand-in runs.
+
+    `slow_factor` multiplies the processing time; `fail_share` is the fraction of
+    requests that get status 500. `seen` holds the first requests, at most
+    MAX_RECORDED_REQUESTS; `runs_by_target` counts all.
+    """
 
     slow_factor: float = 1.0
     fail_share: float = 0.0
@@ -190,7 +196,7 @@
                 self.state.seen.append(seen)
 
     def _call_nested(self, environ: dict[str, Any]) -> list[int]:
-        """Call the first path in the header; pass the rest on to its backend server."""
+        """Call the first path in the header, passing on the rest; return its status."""
         paths = _header(environ, HEADER_NESTED)
         if not paths or self.options.daemon is None:
             return []
--- a/damaskbay/stand_ins/memory_platform.py
+++ b/damaskbay/stand_ins/memory_platform.py
@@ -161,14 +161,16 @@
     def _faults_before_effect(
         self, kind: CallKind, timeout_s: float
     ) -> PlatformFailure | None:
-        """Count the request and apply the faults that occur before its effect."""
+        """Count the request; return the failure injected before its effect, or None."""
         with self._shared.changed:
             faults = self.faults
             if faults.unreachable(self.name):
                 return _unavailable("outage")
             now = self._shared.clock()
             if self._shared.meter.exceeds_limit(kind, self.name, faults, now):
-                return PlatformFailure(PlatformProblem.BUSY, "above the call rate")
+                return PlatformFailure(
+                    PlatformProblem.BUSY, "request rate above the limit"
+                )
             if kind is CallKind.WRITE and faults.drop_writes > 0:
                 self._shared.faults = replace(
                     faults, drop_writes=faults.drop_writes - 1
@@ -177,11 +179,11 @@
         if kind is CallKind.READ and faults.delay_s > 0:
             time.sleep(min(faults.delay_s, timeout_s))
             if faults.delay_s >= timeout_s:
-                return _unavailable("no answer in time")
+                return _unavailable("no reply in time")
         return None
 
     def _faults_after_write(self, timeout_s: float) -> PlatformFailure | None:
-        """Apply the faults that occur after the effect of a write."""
+        """Return the failure injected after the effect of a write, or None."""
         with self._shared.changed:
             faults = self.faults
             reply_lost = faults.lose_answers > 0
--- a/damaskbay/stand_ins/platform.py
+++ b/damaskbay/stand_ins/platform.py
@@ -27,9 +27,9 @@
 PATH_COUNTERS = "/v1/counters"
 DEFAULT_THREADS = 64
 MAX_CONNECTIONS = 2000
-_LOOP_S = 0.5
-_CALL_TIMEOUT_S = 60.0
-_TRUNCATED_BYTES = 100
+_POLL_INTERVAL_S = 0.5
+_REQUEST_TIMEOUT_S = 60.0
+_MISSING_BYTES = 100
 _FAULTS = TypeAdapter(Faults)
 _COUNTERS = TypeAdapter(Counters)
 _STATUS_BY_PROBLEM = {
@@ -49,7 +49,7 @@
     expected_revision: int = Field(default=0, ge=0)
     after_revision: int = Field(default=0, ge=0)
     lease_s: float | None = Field(default=None, gt=0, le=86_400)
-    timeout_s: float = Field(default=0, ge=0, le=_CALL_TIMEOUT_S)
+    timeout_s: float = Field(default=0, ge=0, le=_REQUEST_TIMEOUT_S)
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,10 +122,10 @@
         try:
             while not self._stop.is_set():
                 wasyncore.loop(
-                    timeout=_LOOP_S, use_poll=True, map=self._sockets, count=1
+                    timeout=_POLL_INTERVAL_S, use_poll=True, map=self._sockets, count=1
                 )
         finally:
-            self._server.task_dispatcher.shutdown(timeout=_LOOP_S)
+            self._server.task_dispatcher.shutdown(timeout=_POLL_INTERVAL_S)
             wasyncore.close_all(self._sockets, ignore_all=True)
 
 
@@ -138,7 +138,7 @@
         environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         response = _handle(platform, environ)
-        length = len(response.body) + (_TRUNCATED_BYTES if response.truncated else 0)
+        length = len(response.body) + (_MISSING_BYTES if response.truncated else 0)
         headers = [*response.headers.items(), ("Content-Length", str(length))]
         phrase = HTTPStatus(response.status).phrase
         start_response(f"{response.status} {phrase}", headers)
@@ -165,12 +165,12 @@
 
 def _get(request: _Request) -> _Response:
     return _to_response(
-        request.platform.get(request.query.key, timeout_s=_CALL_TIMEOUT_S)
+        request.platform.get(request.query.key, timeout_s=_REQUEST_TIMEOUT_S)
     )
 
 
 def _list(request: _Request) -> _Response:
-    result = request.platform.list(request.query.prefix, timeout_s=_CALL_TIMEOUT_S)
+    result = request.platform.list(request.query.prefix, timeout_s=_REQUEST_TIMEOUT_S)
     if isinstance(result, PlatformFailure):
         return _to_response(result)
     entries = tuple(
@@ -188,7 +188,7 @@
         request.body,
         expected_revision=request.query.expected_revision,
         lease_s=request.query.lease_s,
-        timeout_s=_CALL_TIMEOUT_S,
+        timeout_s=_REQUEST_TIMEOUT_S,
     )
     response = _to_response(result)
     return (
@@ -203,7 +203,7 @@
         request.platform.delete(
             request.query.key,
             expected_revision=request.query.expected_revision,
-            timeout_s=_CALL_TIMEOUT_S,
+            timeout_s=_REQUEST_TIMEOUT_S,
         )
     )
 
--- a/tests/cli/test_trace.py
+++ b/tests/cli/test_trace.py
@@ -29,7 +29,7 @@
 
 
 def test_a_story_goes_down_to_nested_calls() -> None:
-    """Lines of the request and its nested calls only, by time, indented by depth."""
+    """Only the request and its nested calls are shown, by time, indented by depth."""
     code, lines = _trace("a1")
     assert code == 0
     assert lines == [
