--- a/damaskbay/cli/documents.py
+++ b/damaskbay/cli/documents.py
@@ -29,9 +29,10 @@
 
 def read_file(name: str, *, as_json: bool = False) -> FileSet:
     """
-    Return the checked set of a file, or print its problems and stop with an error.
+    Return the checked set of a file; the name "-" is standard input.
 
-    The name "-" is standard input.
+    Raises CommandError if the file cannot be read or the set is invalid; the problems
+    of an invalid set are printed first.
     """
     try:
         data = (
--- a/damaskbay/cli/platform_option.py
+++ b/damaskbay/cli/platform_option.py
@@ -47,7 +47,11 @@
 
 @contextmanager
 def open_platform(options: argparse.Namespace) -> Iterator[HttpPlatform]:
-    """Yield a client of the platform that the options name."""
+    """
+    Yield a client of the platform that the options name.
+
+    Raises CommandError if no address is given.
+    """
     address: PeerAddress | None = options.platform
     if address is None:
         message = f"give --platform HOST:PORT or set ${ENVIRONMENT_VARIABLE}"
@@ -73,18 +77,19 @@
     """
     Return the record of a version, by default of the active one.
 
-    Returns None if nothing was published, or for version 0.
+    Returns None if nothing was published, or for version 0. Raises CommandError if
+    the record cannot be read or the version is not kept.
     """
     if version == 0:
         return None
     if version is None:
         head = store.read_head()
         if isinstance(head, LoadFailure):
-            raise _load_error(head)
+            raise _command_error(head)
         return head.record if isinstance(head, Head) else None
     record = store.read_version(version)
     if isinstance(record, LoadFailure):
-        raise _load_error(record)
+        raise _command_error(record)
     if record is None:
         raise CommandError(
             f"there is no version {version}, or it is no longer kept", EXIT_FAILED
@@ -93,16 +98,20 @@
 
 
 def read_set(store: ConfigStore, record: HeadRecord | None) -> Document:
-    """Return the set of a record, or the empty set if there is no record."""
+    """
+    Return the set of a record, or the empty set if there is no record.
+
+    Raises CommandError if the set cannot be read.
+    """
     if record is None:
         return EMPTY_DOCUMENT
     document = store.load(record)
     if isinstance(document, LoadFailure):
-        raise _load_error(document)
+        raise _command_error(document)
     return document
 
 
-def _load_error(failure: LoadFailure) -> CommandError:
+def _command_error(failure: LoadFailure) -> CommandError:
     code = EXIT_INVALID
     if failure.problem is LoadProblem.UNAVAILABLE:
         code = EXIT_UNAVAILABLE
--- a/damaskbay/config/check.py
+++ b/damaskbay/config/check.py
@@ -25,7 +25,11 @@
 def read_checked_with_base(
     data: bytes | dict[str, Any],
 ) -> tuple[Document | Problems, int | None]:
-    """Return the result of `read_checked` and the version the document is based on."""
+    """
+    Return the result of `read_checked` and the version the document is based on.
+
+    The version is None if the document states none.
+    """
     parsed = parse_objects(data)
     return _check_parsed(parsed), parsed.based_on_version
 
--- a/damaskbay/config/check_changed.py
+++ b/damaskbay/config/check_changed.py
@@ -41,7 +41,7 @@
 
 
 def _effects_are_local(before: Document, changes: Collection[Change]) -> bool:
-    """Return whether `_change_problems` covers all that the changes can break."""
+    """Return whether `_change_problems` checks all that the changes can break."""
     if len(changes) > MAX_INCREMENTAL_CHANGES:
         return False
     for change in changes:
--- a/damaskbay/config/housekeeping.py
+++ b/damaskbay/config/housekeeping.py
@@ -109,7 +109,11 @@
         )
 
     def _find_stale_entries(self, record: HeadRecord) -> list[_StaleEntry]:
-        """Return entries used only by expired versions and by failed publications."""
+        """
+        Return entries used only by expired versions and by failed publications.
+
+        The result is empty if the entries cannot be listed.
+        """
         history = self._platform.list(HISTORY_PREFIX, timeout_s=CALL_TIMEOUT_S)
         pending = self._platform.list(PENDING_PREFIX, timeout_s=CALL_TIMEOUT_S)
         if isinstance(history, PlatformFailure) or isinstance(pending, PlatformFailure):
--- a/damaskbay/config/publishing.py
+++ b/damaskbay/config/publishing.py
@@ -244,6 +244,7 @@
         return self._store.load(record) if isinstance(record, HeadRecord) else record
 
     def _make_record(self, publication: Publication, head: Head | None) -> HeadRecord:
+        """Return the new head record; it includes the delta if that is small."""
         document = publication.document
         before: Document | LoadFailure | None = EMPTY_DOCUMENT
         if head is not None:
--- a/damaskbay/stand_ins/memory_platform.py
+++ b/damaskbay/stand_ins/memory_platform.py
@@ -149,7 +149,7 @@
         """Wait for a newer entry; the caller holds the condition's lock."""
         while True:
             if self.faults.unreachable(self.name):
-                return _unavailable("the watch ended")
+                return _unavailable("the platform became unreachable during the watch")
             entry = self._shared.store.get(key, self._shared.clock())
             if entry is not None and entry.revision > after_revision:
                 return entry
