--- a/damaskbay/config/publishing.py
+++ b/damaskbay/config/publishing.py
@@ -101,7 +101,7 @@
 
     One of several racing publishers wins each version; the others get a
     PublishConflict. After a lost reply the same compare-and-swap is sent again,
-    so a delayed first copy cannot win as well, and the publish id shows whether
+    so a delayed first request cannot take effect too, and the publish id shows whether
     the write took effect.
 
     `progress` is called after each write request with the number of them so far.
@@ -244,6 +244,7 @@
         return self._store.load(record) if isinstance(record, HeadRecord) else record
 
     def _make_record(self, publication: Publication, head: Head | None) -> HeadRecord:
+        """Return the new head record; it includes the delta if that is small."""
         document = publication.document
         before: Document | LoadFailure | None = EMPTY_DOCUMENT
         if head is not None:
