--- a/damaskbay/adapters/backend_http/client.py
+++ b/damaskbay/adapters/backend_http/client.py
@@ -28,12 +28,12 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-_LENGTH_HEADERS = frozenset({"content-length", "host", "expect"})
+_UNFORWARDED_HEADERS = frozenset({"content-length", "host", "expect"})
 
 
 @dataclass(frozen=True, slots=True)
 class BackendHttpOptions:
-    """Address, limits and timeouts of the backend server. Times in seconds."""
+    """Address of the backend server, limits and timeouts; times in seconds."""
 
     host: str
     port: int
@@ -124,7 +124,7 @@
         return response
 
     def _open(self, deadline: float) -> Connection | Refusal:
-        """Return an open connection: an idle one or a new one."""
+        """Return an idle or a new connection, or a refusal if connecting fails."""
         while self._idle:
             connection = self._idle.pop()
             idle_s = self._clock() - connection.idle_since
@@ -187,7 +187,7 @@
     def _headers(
         self, request: Request, call_token: str, remaining_s: float
     ) -> Headers:
-        forwarded = without(without_hop_by_hop(request.headers), _LENGTH_HEADERS)
+        forwarded = without(without_hop_by_hop(request.headers), _UNFORWARDED_HEADERS)
         return (
             ("Host", request.host),
             *forwarded,
--- a/damaskbay/adapters/caller_http/hang_up.py
+++ b/damaskbay/adapters/caller_http/hang_up.py
@@ -16,7 +16,7 @@
 
 
 class HangUpWatcher(Task):
-    """Task that polls the connections of all running calls."""
+    """Task that polls connections and cancels the calls of disconnected callers."""
 
     def __init__(self) -> None:
         super().__init__("hang-up", tick_s=DISCONNECT_CHECK_INTERVAL_S)
--- a/damaskbay/adapters/caller_http/reading.py
+++ b/damaskbay/adapters/caller_http/reading.py
@@ -64,6 +64,7 @@
 
 
 def _header_name(name: str) -> str:
+    """Return the header name for a WSGI variable without its `HTTP_` prefix."""
     return name.replace("_", "-").title()
 
 
--- a/damaskbay/adapters/gossip_udp/exceptions.py
+++ b/damaskbay/adapters/gossip_udp/exceptions.py
@@ -1,4 +1,4 @@
-"""Reasons for which datagrams are dropped, as sentinel values."""
+"""Reasons for which datagrams are dropped; they are returned, not raised."""
 
 from enum import Enum
 
@@ -8,5 +8,9 @@
 
     TOO_LARGE = "too_large"
     UNPROVEN = "unproven"
+    """The MAC matches none of the secrets."""
+
     REPLAYED = "replayed"
+    """Received before, or too old to tell."""
+
     MALFORMED = "malformed"
--- a/damaskbay/adapters/gossip_udp/replay.py
+++ b/damaskbay/adapters/gossip_udp/replay.py
@@ -10,6 +10,8 @@
 
 @dataclass(slots=True)
 class _ReplayWindow:
+    """Window of a sender; bit n of `received_bits` stands for `highest` - n."""
+
     incarnation: int
     highest: int
     received_bits: int
@@ -22,7 +24,7 @@
         self._windows_by_instance: dict[str, _ReplayWindow] = {}
 
     def accept(self, instance: str, incarnation: int, sequence: int) -> bool:
-        """Record an authenticated datagram; return False for a replay or an old one."""
+        """Record an authenticated datagram; return False if repeated or too old."""
         window = self._windows_by_instance.get(instance)
         if window is None or incarnation > window.incarnation:
             self._add_window(instance, _ReplayWindow(incarnation, sequence, 1))
--- a/damaskbay/adapters/http1/client.py
+++ b/damaskbay/adapters/http1/client.py
@@ -151,7 +151,7 @@
             partial.encoded = True
 
     def on_headers_complete(self) -> None:
-        """Check the headers; a response to HEAD is complete with them."""
+        """Check the headers; a response to a HEAD request ends with them."""
         partial = self._partial
         partial.status = self._parser.get_status_code()
         partial.ends_at_close = not partial.has_length
@@ -269,7 +269,7 @@
 
 
 class HttpClient:
-    """Pool of kept-alive connections to one address; the last used is reused first."""
+    """Pool of kept-alive connections to one address; reuses the last used one first."""
 
     def __init__(self, address: PeerAddress, options: HttpClientOptions) -> None:
         self.address = address
@@ -348,7 +348,7 @@
 
 
 def encode_request(request: Request) -> bytes:
-    """Encode a request; adds Host and Content-Length, which its headers lack."""
+    """Encode a request, adding Host and Content-Length; its headers must lack both."""
     lines = [f"{request.method} {request.target} HTTP/1.1", f"Host: {request.host}"]
     lines += [f"{name}: {value}" for name, value in request.headers]
     if request.body or request.method in {"POST", "PUT", "PATCH"}:
--- a/damaskbay/adapters/http1/const.py
+++ b/damaskbay/adapters/http1/const.py
@@ -6,19 +6,23 @@
 """Requests in flight on one connection before reading pauses; bounds memory."""
 
 TIMEOUT_CHECK_INTERVAL_S: Final = 0.5
-"""Seconds between timeout checks; a timeout is detected at most this much late."""
+"""Seconds between timeout checks; the longest delay until a timeout is detected."""
 
 WRITE_STALL_TIMEOUT_S: Final = 15.0
 """Seconds without write progress before a connection is aborted, to free its buffer."""
 
 LISTEN_BACKLOG: Final = 1024
-"""Connections waiting to be accepted; a dropped one delays the caller by seconds."""
+"""
+Maximum number of connections that wait to be accepted.
+
+Further attempts to connect are dropped, which delays the caller by seconds.
+"""
 
 USER_TIMEOUT_MS: Final = 4000
-"""Milliseconds that sent data may stay unacknowledged before the kernel closes."""
+"""Milliseconds without an acknowledgement of sent data until the connection fails."""
 
 KEEPALIVE_IDLE_S: Final = 2
 """Seconds without traffic before the kernel sends keepalive probes."""
 
 KEEPALIVE_PROBES: Final = 2
-"""Unacknowledged probes, a second apart, after which the kernel closes."""
+"""Unacknowledged probes, a second apart, after which the connection fails."""
--- a/damaskbay/adapters/http1/server.py
+++ b/damaskbay/adapters/http1/server.py
@@ -239,7 +239,7 @@
         self._apply_backpressure()
 
     def _close_after_response(self) -> None:
-        """Close after the last response; later pipelined requests are not run."""
+        """Close after the last response; cancel the requests pipelined behind it."""
         self._closing = True
         for exchange in self._exchanges:
             if exchange.task is not None:
@@ -282,7 +282,11 @@
 
 
 class HttpServer:
-    """HTTP server on one address; an async context manager."""
+    """
+    HTTP server on one address; an async context manager.
+
+    While `draining` is set, each connection closes after its next response.
+    """
 
     def __init__(
         self, address: PeerAddress, handler: Handler, limits: CallerLimits
@@ -337,7 +341,7 @@
 
 
 def encode_response(response: Answer, method: str, keep_alive: bool) -> bytes:
-    """Encode a response; adds Content-Length, which its headers lack."""
+    """Encode a response, adding Content-Length; its headers must lack it."""
     no_body = method == "HEAD" or response.status in _STATUSES_WITHOUT_BODY
     phrase = _PHRASES.get(response.status, "Unknown")
     lines = [f"HTTP/1.1 {response.status} {phrase}"]
--- a/damaskbay/adapters/peer_link/client.py
+++ b/damaskbay/adapters/peer_link/client.py
@@ -51,11 +51,11 @@
         self._links_by_peer: dict[PeerAddress, Link] = {}
         self._accepted: set[Link] = set()
         self._server: asyncio.Server | None = None
-        self._note_task: asyncio.Task[None] | None = None
+        self._monitor_task: asyncio.Task[None] | None = None
 
     async def __aenter__(self) -> Self:
         self._server = await listen(self._address, self._accept)
-        self._note_task = asyncio.create_task(self._send_notes())
+        self._monitor_task = asyncio.create_task(self._monitor_links())
         return self
 
     async def __aexit__(
@@ -64,8 +64,8 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        if self._note_task is not None:
-            self._note_task.cancel()
+        if self._monitor_task is not None:
+            self._monitor_task.cancel()
         self.want(frozenset())
         if self._server is not None:
             self._server.close()
@@ -89,7 +89,7 @@
 
     @property
     def up_count(self) -> int:
-        """Return the number of links opened by this daemon."""
+        """Return the number of open links to peers, without accepted links."""
         return len(self._links_by_peer)
 
     def up(self, peer: PeerAddress) -> bool:
@@ -159,7 +159,8 @@
             _LOGGER.warning("peer: link is lost.", extra={"peer": str(peer)})
             await asyncio.sleep(RECONNECT_DELAY_S)
 
-    async def _send_notes(self) -> None:
+    async def _monitor_links(self) -> None:
+        """Send notes each round; mark suspect links and close timed-out ones."""
         due_at = monotonic_s() + NOTE_INTERVAL_S
         for round_number in itertools.count():
             await asyncio.sleep(NOTE_INTERVAL_S)
--- a/damaskbay/adapters/peer_link/const.py
+++ b/damaskbay/adapters/peer_link/const.py
@@ -9,18 +9,22 @@
 """
 Seconds without a received byte before a link is quiet.
 
-Plus NOTE_INTERVAL_S it stays below SUSPECT_AFTER_S: a link that is not yet quiet in
-one round gets a note in the next one, before it becomes suspect.
+The sum with NOTE_INTERVAL_S must be less than SUSPECT_AFTER_S: a link that is not yet
+quiet in one round then gets a note in the next round, before it becomes suspect.
 """
 
 MAX_NOTE_ROUNDS: Final = 4
-"""Each link gets a note every this many rounds, even if it carries requests."""
+"""Number of rounds between two notes on a link that is not quiet."""
 
 SUSPECT_AFTER_S: Final = 0.8
-"""Seconds without a received byte before requests avoid a link; a note is overdue."""
+"""
+Seconds without a received byte before a link is suspect: new requests avoid it.
+
+Exceeds NOTE_INTERVAL_S, so that a note is overdue by then.
+"""
 
 LINK_TIMEOUT_S: Final = 1.5
-"""Seconds without a received byte, three notes, before a link is closed."""
+"""Seconds without a received byte before a link is closed; three note intervals."""
 
 CONNECT_TIMEOUT_S: Final = 1.0
 """Seconds to connect; the longest round trip is tens of milliseconds."""
--- a/damaskbay/adapters/peer_link/frames.py
+++ b/damaskbay/adapters/peer_link/frames.py
@@ -11,7 +11,7 @@
 
 
 class FrameKind(Enum):
-    """Purpose of a frame. The frames that end a request repeat its number."""
+    """Kind of a frame. A request and the frames that end it carry the same number."""
 
     REQUEST = 0
     REPLY = 1
--- a/damaskbay/adapters/peer_link/link.py
+++ b/damaskbay/adapters/peer_link/link.py
@@ -35,8 +35,8 @@
     """
     One end of a connection.
 
-    `last_received_at` is the monotonic time of the last received bytes. New requests
-    avoid a `suspect` link: it has received nothing for longer than the note interval.
+    `last_received_at` is the monotonic time of the last received bytes. PeerLinks sets
+    `suspect` after SUSPECT_AFTER_S without any; new requests avoid a suspect link.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         set_tcp_options(transport.get_extra_info("socket"))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the pending requests and cancel the handlers of requests of the peer."""
+        """Fail the requests in flight and cancel the handlers of received requests."""
         self._transport = None
         failure = PeerFailure(PeerProblem.LOST, str(exc or "closed"))
         pending, self._pending = self._pending, {}
@@ -92,7 +92,7 @@
 
     async def request(self, message: Any, *, timeout_s: float) -> Any:
         """
-        Send a request; wait up to `timeout_s` seconds for a reply or PeerFailure.
+        Send a request; return its reply, or a PeerFailure after at most `timeout_s`.
 
         On timeout or cancellation the peer gets a CANCEL frame.
         """
--- a/damaskbay/adapters/peer_stream/client.py
+++ b/damaskbay/adapters/peer_stream/client.py
@@ -50,7 +50,7 @@
         self._reconnect_not_before: dict[PeerAddress, float] = {}
 
     def request(self, request: OutgoingRequest, now: float) -> None:
-        """Send a request or fail it; only track one that its own thread has written."""
+        """Send a request or fail it; one that is already written is only tracked."""
         if request.stream is not None:
             self._track_written(request, request.stream, now)
             return
@@ -130,7 +130,7 @@
         return bool(self._ids_by_stream.get(stream))
 
     def next_deadline(self) -> float:
-        """Return the earliest deadline of a request."""
+        """Return the earliest deadline of a request, infinity if there is none."""
         return self._deadlines[0][0] if self._deadlines else float("inf")
 
     def tick(self, now: float) -> None:
--- a/damaskbay/adapters/peer_stream/frames.py
+++ b/damaskbay/adapters/peer_stream/frames.py
@@ -55,7 +55,7 @@
 
 
 def decode(body: bytes | memoryview) -> Frame:
-    """Return the frame in a body without its length; raise FrameError if invalid."""
+    """Decode the bytes that follow a frame's length; raise FrameError if invalid."""
     try:
         kind, correlation_id, payload = msgpack.unpackb(body)
     except (ValueError, TypeError, RecursionError) as error:
--- a/damaskbay/adapters/peer_stream/liveness.py
+++ b/damaskbay/adapters/peer_stream/liveness.py
@@ -17,8 +17,8 @@
     """
     Liveness of one stream, from the times of received bytes and of pings.
 
-    The task that owns the peer's socket replies to a ping itself, so a missing
-    reply points to the network or the process, never to a slow request handler.
+    The event loop of the peer replies to a ping itself, so a missing reply points
+    to the network or the process, never to a slow request handler.
     """
 
     def __init__(self, options: PeerStreamOptions, now: float) -> None:
--- a/damaskbay/adapters/peer_stream/loop.py
+++ b/damaskbay/adapters/peer_stream/loop.py
@@ -84,7 +84,7 @@
         return True
 
     def post_deferred(self, command: Any, due: float) -> None:
-        """Queue a command that may wait until `due` or the next event."""
+        """Queue a command for the loop's next round, which starts by `due`."""
         self._commands.append(command)
         if due < self._sleeping_until:
             self._wake()
--- a/damaskbay/adapters/peer_stream/outbox.py
+++ b/damaskbay/adapters/peer_stream/outbox.py
@@ -35,7 +35,7 @@
 
     def send_first(self, sock: socket.socket, frame: OutgoingFrame) -> None:
         """
-        Write a frame to a socket; queue the rest. The queue must be empty.
+        Write a frame to a socket and queue its unsent rest; the outbox must be empty.
 
         A socket error is not raised here: the next flush raises it.
         """
@@ -50,7 +50,7 @@
             self.put(frame)
 
     def withdraw(self, frame: OutgoingFrame) -> bool:
-        """Remove a frame; return False if a byte of it may have left."""
+        """Remove a frame; return False if it has started or is not queued."""
         if frame.started:
             return False
         try:
--- a/damaskbay/adapters/peer_stream/pool.py
+++ b/damaskbay/adapters/peer_stream/pool.py
@@ -118,7 +118,7 @@
                 self._update_interest(stream)
 
     def tick(self, now: float, late_s: float) -> None:
-        """Ping idle streams; close unresponsive ones and handshakes that timed out."""
+        """Send due pings; close unresponsive streams and overdue handshakes."""
         for stream, endpoint in tuple(self._endpoints.items()):
             self._stats.bytes_sent += stream.take_sent_bytes()
             if not stream.authenticated:
--- a/damaskbay/adapters/peer_stream/proof.py
+++ b/damaskbay/adapters/peer_stream/proof.py
@@ -45,7 +45,7 @@
 
 
 def compute_mac(secret: bytes, role: Role, initiator: bytes, acceptor: bytes) -> bytes:
-    """Return the HMAC that proves one role; it covers role and hellos with lengths."""
+    """Return the HMAC of the role and both hellos, each prefixed with its length."""
     digest = hmac.new(secret, _LABEL, hashlib.sha256)
     for part in (role.value, initiator, acceptor):
         digest.update(len(part).to_bytes(4, "big"))
--- a/damaskbay/adapters/peer_stream/responder.py
+++ b/damaskbay/adapters/peer_stream/responder.py
@@ -53,7 +53,7 @@
         ...
 
     def post_deferred(self, command: Any, due: float) -> None:
-        """Queue a command that may wait until `due` or the loop's next event."""
+        """Queue a command for the loop's next round, which starts by `due`."""
         ...
 
 
@@ -89,6 +89,7 @@
         return True
 
     def _before_write(self, request: IncomingRequest) -> bool:
+        """Mark the request as replied to; return False if it is already closed."""
         if not request.open:
             return False
         request.open = False
--- a/damaskbay/adapters/peer_stream/server.py
+++ b/damaskbay/adapters/peer_stream/server.py
@@ -98,7 +98,7 @@
         )
 
     def send_reply(self, command: ReplyCommand) -> None:
-        """Send a reply, or a DROPPED frame if it is too large for frame or queue."""
+        """Send a reply, or a DROPPED frame if it exceeds the frame or queue limit."""
         request = command.request
         if not request.open:
             return
@@ -215,10 +215,11 @@
                 self._pool.put(stream, FrameKind.DROPPED, request.correlation_id)
 
     def _is_full(self, running: dict[int, IncomingRequest]) -> bool:
-        """Return whether a stream is at its limit of requests without a reply."""
+        """Return whether a stream has reached its limit of running requests."""
         limit = self._options.max_running_per_stream
         if len(running) < limit:
             return False
+        # Another thread may have replied to a request that is still tracked.
         for request in tuple(running.values()):
             if not request.open:
                 self._remove(request)
--- a/damaskbay/adapters/peer_stream/stream.py
+++ b/damaskbay/adapters/peer_stream/stream.py
@@ -37,7 +37,7 @@
 
 class PeerStream:
     """
-    Stream to a peer, used only by the task that owns it, except for `try_send`.
+    Stream to a peer; used on the loop's thread, except for `try_send`.
 
     The lock guards the outbox and the writes from it, which never block.
 
@@ -102,7 +102,7 @@
 
     @property
     def queued_bytes(self) -> int:
-        """Return the size of all queued frames, also those held until the handshake."""
+        """Return the size of all queued frames, also those that await the handshake."""
         return self._outbox.queued_bytes + self._deferred_outbox.queued_bytes
 
     @property
@@ -129,7 +129,7 @@
         """
         Write a frame from the calling thread if nothing is queued; never blocks.
 
-        Returns False if the owning task has to send the frame. Otherwise
+        Returns False if the loop has to send the frame. Otherwise
         `before_write(context)` was called before the first byte was written; if it
         returned True, the frame was written, and any rest is queued.
         """
@@ -147,7 +147,7 @@
             self._lock.release()
 
     def withdraw(self, frame: OutgoingFrame) -> bool:
-        """Remove a queued frame; return False if a byte of it may have left."""
+        """Remove a queued frame; return False if it has started or is not queued."""
         with self._lock:
             return self._outbox.withdraw(frame) or self._deferred_outbox.withdraw(frame)
 
--- a/damaskbay/adapters/peer_stream/streams.py
+++ b/damaskbay/adapters/peer_stream/streams.py
@@ -197,7 +197,7 @@
             self._drains.clear()
 
     def next_deadline(self) -> float:
-        """Return the earliest deadline of a request."""
+        """Return the earliest deadline of a request, infinity if there is none."""
         return self._client.next_deadline()
 
     def on_stopped(self) -> None:
--- a/damaskbay/adapters/platform_http/client.py
+++ b/damaskbay/adapters/platform_http/client.py
@@ -114,7 +114,7 @@
     def delete(
         self, key: str, *, expected_revision: int, timeout_s: float
     ) -> Entry | Conflict | PlatformFailure | None:
-        """Delete the entry if it has the expected revision; None if it is absent."""
+        """Delete and return the entry of the expected revision, or None if absent."""
         query: Query = {const.QUERY_KEY: key, const.QUERY_EXPECTED: expected_revision}
         response = self._request("DELETE", const.PATH_ENTRY, query, timeout_s=timeout_s)
         if (
@@ -166,7 +166,11 @@
 def _parse_entry(
     key: str, response: RawResponse | PlatformFailure, problem: PlatformProblem
 ) -> Entry | PlatformFailure | None:
-    """Return the entry, or a failure; `problem` applies to unexpected responses."""
+    """
+    Return the entry, None if it is absent, or a failure.
+
+    `problem` is used if the response does not identify the problem.
+    """
     if isinstance(response, PlatformFailure):
         return response
     if _is_absent(response):
--- a/damaskbay/adapters/platform_http/connections.py
+++ b/damaskbay/adapters/platform_http/connections.py
@@ -124,7 +124,7 @@
     def _read(
         self, connection: HTTPConnection, response: HTTPResponse, deadline: float
     ) -> bytes:
-        """Return the complete body; raise BadAnswerError or IncompleteRead if cut."""
+        """Return the complete body; raise BadAnswerError or IncompleteRead if not."""
         chunks = []
         size = 0
         while True:
--- a/damaskbay/adapters/telemetry/bound.py
+++ b/damaskbay/adapters/telemetry/bound.py
@@ -94,7 +94,7 @@
     def _call_counter(
         self, context: CallContext, series: _Series, outcome: Answer | Refusal
     ) -> Counter:
-        """Return the counter of an outcome and reason, looked up once."""
+        """Return the cached counter of an outcome and its reason."""
         outcome_label, key = OUTCOME_ANSWER, ""
         if isinstance(outcome, Refusal):
             outcome_label = outcome.outcome.value
@@ -120,7 +120,7 @@
         return self._workspace_label(context.workspace), str(context.priority_rank)
 
     def _workspace_label(self, workspace: str) -> str:
-        """Return the label of a workspace; above the limit all share one."""
+        """Return the label of a workspace; workspaces beyond the limit share one."""
         if workspace in self._workspaces:
             return workspace
         if len(self._workspaces) >= MAX_WORKSPACE_LABELS:
--- a/damaskbay/adapters/telemetry/client.py
+++ b/damaskbay/adapters/telemetry/client.py
@@ -27,7 +27,7 @@
 
 class Telemetry:
     """
-    Metrics of one daemon. Safe from any thread.
+    Metrics of one daemon. Thread-safe.
 
     Label values come only from the active configuration set and are limited in
     number: values that callers send never become labels.
--- a/damaskbay/adapters/telemetry/histogram.py
+++ b/damaskbay/adapters/telemetry/histogram.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class Series:
-    """Number of values in each bucket; the last bucket has no upper bound."""
+    """Count of values per bucket, the last without upper bound, and their sum."""
 
     bounds: Sequence[float]
     counts: list[int] = field(init=False)
--- a/damaskbay/client/const.py
+++ b/damaskbay/client/const.py
@@ -7,6 +7,8 @@
 REQUEST_IDS_TARGET: Final = "/.damaskbay/request-ids"
 
 MIN_ATTEMPT_S: Final = 0.005
+"""Seconds that must be left before the deadline for another attempt."""
+
 MAX_REMEMBERED_ISSUERS: Final = 10_000
 MAX_REFUSAL_BYTES: Final = 65_536
 
