--- a/tests/adapters/backend_http/test_client.py
+++ b/tests/adapters/backend_http/test_client.py
@@ -139,7 +139,7 @@
 
 
 def test_cancellation_closes_the_connection() -> None:
-    """The backend server sees the connection close; the outcome is `unknown`."""
+    """Cancelling a call closes its connection and gives the outcome `unknown`."""
     received = threading.Event()
     closed = threading.Event()
 
--- a/tests/adapters/http1/test_server.py
+++ b/tests/adapters/http1/test_server.py
@@ -178,7 +178,7 @@
 
 
 def test_accepted_connections_inherit_how_peers_are_watched() -> None:
-    """Accepted connections inherit the TCP options, which saves six calls for each."""
+    """Accepted connections inherit the TCP options; this saves six system calls."""
     options = [
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE),
         (socket.IPPROTO_TCP, socket.TCP_NODELAY),
--- a/tests/adapters/peer_link/test_link.py
+++ b/tests/adapters/peer_link/test_link.py
@@ -72,7 +72,7 @@
 
 
 def test_a_cancelled_request_is_cancelled_at_the_peer() -> None:
-    """The peer's handler is cancelled, so that it does no useless work."""
+    """Cancelling a request cancels its handler, so that it does no useless work."""
 
     async def check(one: _Daemon, two: _Daemon) -> None:
         task = asyncio.create_task(
--- a/tests/adapters/peer_stream/common.py
+++ b/tests/adapters/peer_stream/common.py
@@ -107,7 +107,7 @@
             sock.close()
 
     def freeze(self, *directions: str) -> None:
-        """Silently drop all further data on the connections that exist now."""
+        """Drop all further data of the open connections in the given directions."""
         for number in range(self.connections):
             self._frozen |= {(number, direction) for direction in directions}
 
--- a/tests/adapters/peer_stream/test_failures.py
+++ b/tests/adapters/peer_stream/test_failures.py
@@ -248,7 +248,7 @@
 
 
 def test_frames_out_of_place_end_the_stream() -> None:
-    """Unauthenticated requests, oversized frames and frames of the wrong role."""
+    """Early requests, oversized frames and frames of the wrong role end the stream."""
     request = encode(FrameKind.REQUEST, 1, pack(Request(1)))
     long = LONG_TIMEOUTS.max_frame_bytes + 1
     with link("b") as b:
--- a/tests/adapters/telemetry/test_bound.py
+++ b/tests/adapters/telemetry/test_bound.py
@@ -37,7 +37,7 @@
 
 
 def test_labels_are_bounded() -> None:
-    """Above the limit all workspaces share one label."""
+    """Workspaces beyond the limit share one label."""
     telemetry = BoundTelemetry()
     refusal = not_run(Reason.RATE_EXCEEDED)
     for number in range(MAX_WORKSPACE_LABELS + 50):
--- a/tests/adapters/telemetry/test_client.py
+++ b/tests/adapters/telemetry/test_client.py
@@ -37,7 +37,7 @@
 
 
 def test_labels_are_bounded_whatever_callers_send() -> None:
-    """Above the limit workspaces share one label; a call without context adds none."""
+    """Workspaces beyond the limit share one label; calls without context add none."""
     telemetry = Telemetry(instance="campo-1", failure_domain="centro-a")
     result = CallResult(not_run(Reason.KEY_UNKNOWN), attempts=0)
     for number in range(2 * MAX_WORKSPACE_LABELS):
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -77,7 +77,7 @@
 
 
 def test_retry_after_beyond_the_deadline_ends_the_call() -> None:
-    """The refusal is returned at once, with its Retry-After."""
+    """A refusal with a Retry-After beyond the deadline is returned at once."""
     response = refusal_response("not_run", "rate_exceeded", 429, retry_after="60")
     with daemon(lambda *_: response) as one, client(one.address) as caller:
         result = refusal(caller.call("GET", "/", host="h", deadline_s=DEADLINE_S))
@@ -97,7 +97,7 @@
 
 
 def test_unreachable_daemons_are_not_run_and_avoided() -> None:
-    """Another daemon is used; if there is none, the outcome is `not_run`."""
+    """Calls go to a reachable daemon; if there is none, the outcome is `not_run`."""
     gone = unused_address()
     with daemon(lambda *_: complete_response()) as one:
         with client(gone, one.address) as caller:
@@ -133,7 +133,7 @@
 @given(cut=st.integers(0, 400))
 @settings(derandomize=True, deadline=None, max_examples=150)
 def test_refusal_or_chunks_cut_at_any_byte(cut: int) -> None:
-    """Neither a refusal with cut headers nor a cut chunked body is a response."""
+    """Cut refusal headers or a cut chunked body are never taken as a response."""
     chunks = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"
     chunked = chunks + b"0\r\n\r\n"
     refusal_bytes = (
