--- a/damaskbay/adapters/peer_stream/request.py
+++ b/damaskbay/adapters/peer_stream/request.py
@@ -49,7 +49,7 @@
             return
 
     def fail(self, problem: PeerProblem, detail: str) -> None:
-        """Set a failure as the result: NOT_SENT if no byte has been written."""
+        """Set a failure as the result; it is NOT_SENT if no byte has been written."""
         if self.frame is None or not self.frame.started:
             problem = PeerProblem.NOT_SENT
         self.complete(PeerFailure(problem, detail))
