--- a/damaskbay/daemon/admission.py
+++ b/damaskbay/daemon/admission.py
@@ -25,10 +25,10 @@
 EXPIRY_TICK_S = 0.05
 
 StillAllowed = Callable[[CallContext], Refusal | None]
-"""Check again, right before a call starts, that its key and route are still valid."""
+"""Returns a refusal if a call that is about to start is no longer allowed."""
 
 _Callback = Callable[[], "list[_Callback]"]
-"""Runs one callback and returns further callbacks that became due."""
+"""Notifies one submitter; returns further notifications that follow from it."""
 
 
 @dataclass(slots=True)
@@ -200,7 +200,7 @@
                 submitted.start()
                 return []
             submitted.refuse(refusal)
-            no_sample = Sample(0.0, cancelled=True)  # the call never ran
+            no_sample = Sample(0.0, cancelled=True)  # the call did not run
             with self._lock:
                 decisions = self._controller.finish(number, no_sample, self._clock())
                 return self._callbacks_for(decisions)
@@ -217,11 +217,11 @@
 
 
 def _bind_refuse(refuse: Callable[[Refusal], None], refusal: Refusal) -> _Callback:
-    def call() -> list[_Callback]:
+    def notify() -> list[_Callback]:
         refuse(refusal)
         return []
 
-    return call
+    return notify
 
 
 class AdmissionTicker(Task):
--- a/damaskbay/daemon/announcing.py
+++ b/damaskbay/daemon/announcing.py
@@ -73,7 +73,7 @@
         )
 
     def tick(self, now: float) -> None:
-        """Publish the current state again."""
+        """Determine the current state and publish it."""
         self._publish_state(now)
 
     def _publish_state(self, now: float) -> None:
--- a/damaskbay/daemon/app.py
+++ b/damaskbay/daemon/app.py
@@ -45,7 +45,7 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-DRAIN_ANNOUNCE_S = 2.0  # until peers know that this server is draining
+DRAIN_ANNOUNCE_S = 2.0  # time for peers to learn that this server is draining
 DRAIN_POLL_S = 0.05
 IDLE_CONNECTIONS_GRACE_S = 3.0
 
@@ -54,7 +54,8 @@
     """
     A daemon, run as a context manager.
 
-    `drain` stops it gracefully: new calls go to other daemons, running calls end.
+    `drain` prepares a graceful stop: other daemons get the new calls, and running
+    calls finish.
     """
 
     def __init__(self, settings: DaemonSettings, secrets: tuple[bytes, ...]) -> None:
--- a/damaskbay/daemon/config_messages.py
+++ b/damaskbay/daemon/config_messages.py
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscription:
-    """Callback to call with the active and each newer set."""
+    """Request to invoke `callback` with the active set and each newer one."""
 
     callback: Callable[[ConfigSet], None]
 
--- a/damaskbay/daemon/config_polling.py
+++ b/damaskbay/daemon/config_polling.py
@@ -1,4 +1,4 @@
-"""Select the daemons to poll for the newest version, and the times."""
+"""Select which daemons to poll for the newest version, and when."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -24,11 +24,13 @@
 
 class PollScheduler:
     """
-    Scheduler that alternates between the relays' trees and random members.
+    Scheduler of polls to a parent in a relay's tree or to a random member.
 
-    Each relay is the root of a tree, and a poll goes to the parent in that tree.
-    The trees have different inner daemons, so a stopped daemon delays its children
-    by one period only. If a parent did not reply, a backup is polled instead.
+    Each relay is the root of one tree of all daemons. Successive polls go to this
+    daemon's parents in different trees. The trees have different inner nodes, so a
+    stopped daemon delays its children by only one period. Every
+    `random_poll_every`-th poll goes to a random member. If a parent did not reply to
+    a poll, a random backup is polled once in its place.
     """
 
     def __init__(
--- a/damaskbay/daemon/config_relay.py
+++ b/damaskbay/daemon/config_relay.py
@@ -36,8 +36,8 @@
     Task that reads sets as a relay and posts them with `post_to_service`.
 
     It is idle while other daemons are the relays. A result is discarded if the lease
-    ended before the platform replied, so that a relay does not post data from
-    before a pause of its process.
+    ended before the platform replied: after a pause of the process the result may be
+    outdated.
     """
 
     def __init__(
@@ -130,6 +130,8 @@
             return
         match observed:
             case None:
+                # Only a watch of full length proves that the head is unchanged
+                # until its end.
                 timed_out = self.clock() - requested_at >= timeout_s
                 self._post_proof(
                     requested_at + timeout_s if timed_out else requested_at
@@ -172,8 +174,8 @@
         """
         Skip a head from which no set can be loaded.
 
-        The loaded set is known to be the newest accepted one only if the version of
-        that head is the next one.
+        If its version directly follows the loaded one, no set was accepted in between
+        and the loaded set is still proven. Otherwise proofs stop.
         """
         self._head = head
         self._loaded_is_newest = head.version == self._loaded_version + 1
--- a/damaskbay/daemon/config_service.py
+++ b/damaskbay/daemon/config_service.py
@@ -41,7 +41,7 @@
     Task that implements ports.fleet.ConfigSource; a context manager.
 
     `source` reads accepted sets, by default from the platform; `contacts` returns
-    daemons of remote failure domains.
+    a few daemons of each failure domain.
     """
 
     def __init__(
@@ -154,7 +154,7 @@
         self._publish_state(now)
 
     def tick(self, now: float) -> None:
-        """Poll a neighbour, and remote failure domains if the proof is too old."""
+        """Send due polls, to remote failure domains too if the proof is too old."""
         members = self._membership.members()
         self._order.update(members)
         self._backup_order.update(members)
--- a/damaskbay/daemon/dispatch.py
+++ b/damaskbay/daemon/dispatch.py
@@ -55,7 +55,11 @@
         *,
         owned: bool = False,
     ) -> CallResult:
-        """Send a call and block until a reply, a stream failure or the deadline."""
+        """
+        Send a call and block until a reply, a stream failure or the deadline.
+
+        With `owned` the peer owns the request id and dispatches the call.
+        """
         now = self._clock()
         message = to_call_message(context, request, now=now, owned=owned)
         timeout_s = max(0.0, context.deadline - now)
@@ -103,7 +107,7 @@
         self._retry_budgets_by_pool: dict[str, RetryBudget] = {}
 
     def dispatch(self, outgoing: OutgoingCall) -> CallResult:
-        """Send a call until it has a response or final refusal, or its deadline."""
+        """Send a call until a response, a final refusal or the deadline."""
         attempts = _CallAttempts(outgoing.context.retry_tokens)
         while True:
             result = self._send_once(outgoing, attempts)
@@ -209,7 +213,12 @@
 
 
 class _CallAttempts:
-    """Attempts, retry tokens and excluded servers of one call."""
+    """
+    Attempts, retry tokens and excluded servers of one call.
+
+    `count` is the number of recorded results, `total_sends` the sum of the attempts
+    that they report.
+    """
 
     def __init__(self, tokens: int) -> None:
         self.tokens = tokens
--- a/damaskbay/daemon/ingress.py
+++ b/damaskbay/daemon/ingress.py
@@ -150,7 +150,7 @@
     def _refuse(
         self, call: IncomingCall, context: CallContext, refusal: Refusal
     ) -> CallResult:
-        """Refuse a call; with a request id, the outcome covers all its attempts."""
+        """Return the refusal of a call; with a request id, it covers all attempts."""
         if context.request_id is None or context.idempotent:
             return refused_result(refusal)
         request = scrub(call.request, call.key)
--- a/damaskbay/daemon/membership_contacts.py
+++ b/damaskbay/daemon/membership_contacts.py
@@ -30,8 +30,8 @@
     Task that reads all contacts and writes the daemon's own while it is a delegate.
 
     A daemon without known members is its own delegate, so it reads contacts and can
-    join. Contacts are hints: an outdated one does no harm. Their lease is long; it
-    removes the contacts of a failure domain that no longer exists.
+    join. Contacts are hints: an outdated one does no harm. Their long lease removes
+    the contacts of a failure domain that no longer exists.
     """
 
     def __init__(
@@ -90,9 +90,9 @@
         """
         Write the own contact if due; return whether a write was attempted.
 
-        The caller reads again after a write. If it merged the written contact into the
-        earlier result instead, that result would look newer, but contacts that other
-        daemons wrote in between would be missing.
+        The caller reads all contacts again after a write. Adding the written contact
+        to the earlier result is not enough: it would look up to date, but lack the
+        contacts that other daemons wrote in between.
         """
         domain = self._own_entry.failure_domain
         leaders = [member.instance for member in self._order.leaders]
@@ -112,6 +112,7 @@
         return True
 
     def _write_contact(self, contact: Contact, revision: int) -> bool:
+        """Write a contact; return whether the platform confirmed the write."""
         result = self._platform.compare_and_swap(
             f"{CONTACT_PREFIX}{contact.failure_domain}/{contact.slot}",
             pack_contacts([contact]),
--- a/damaskbay/daemon/messages.py
+++ b/damaskbay/daemon/messages.py
@@ -15,7 +15,8 @@
 
     `remaining_s` is the time to the deadline in seconds. With `owned` the receiver
     owns the request id: it dispatches the call to a server of the pool instead of
-    running it on its own backend server.
+    running it on its own backend server. `resent` marks a retry, `under_resent` a
+    call nested below a retry.
     """
 
     call_id: str
--- a/damaskbay/daemon/observer.py
+++ b/damaskbay/daemon/observer.py
@@ -42,8 +42,8 @@
     """
     Records call events on a thread of its own (port: CallObserver).
 
-    Events are queued and processed at every tick, so that a call wakes no other
-    thread. While `MAX_PENDING_EVENTS` are pending, new events are dropped and
+    Events are queued and processed at every tick, so that a call does not wake
+    another thread. While `MAX_PENDING_EVENTS` are pending, new events are dropped and
     counted in `dropped`.
     """
 
@@ -72,7 +72,12 @@
     def explain(
         self, *, call_id: str | None, workspace: str | None
     ) -> tuple[Decision, ...]:
-        """Return the recorded decisions of a call or a workspace, oldest first."""
+        """
+        Return the recorded decisions of a call or a workspace, oldest first.
+
+        Returns none if the inbox is full. Raises TimeoutError after
+        `EXPLAIN_TIMEOUT_S`.
+        """
         explain_request = _ExplainRequest(call_id, workspace, Future())
         if not self.post(explain_request):
             return ()
--- a/damaskbay/daemon/once.py
+++ b/damaskbay/daemon/once.py
@@ -66,8 +66,8 @@
         Refuse a call with a request id before it reaches the owner of the id.
 
         The result covers all attempts with the id. If this daemon owns the id and
-        an earlier attempt has started, the result is what a retry gets. If another
-        daemon owns the id, the outcome is `unknown`.
+        an earlier attempt has started, the result is the one that a retry gets. If
+        another daemon owns the id, the outcome is `unknown`.
         """
         request_id = context.request_id or ""
         ref = parse_request_id(self._secrets, request_id)
@@ -81,7 +81,7 @@
         return CallResult(recorded or refusal, attempts=0)
 
     def run_owned(self, outgoing: OutgoingCall) -> CallResult:
-        """Run a call at most once if this daemon owns its request id."""
+        """Run a call whose request id this daemon owns, at most once for the id."""
         request_id = outgoing.context.request_id or ""
         fingerprint = fingerprint_of(outgoing.context.workspace, outgoing.request)
         with self._lock:
--- a/damaskbay/daemon/operator.py
+++ b/damaskbay/daemon/operator.py
@@ -85,7 +85,7 @@
         return document.model_dump(mode="json")
 
     def announce(self, state: ServerState, slots: int, load: float) -> None:
-        """Pass on an announcement of the local backend server."""
+        """Forward an announcement of the local backend server to the announcer."""
         self._announcer.post(ServerAnnouncement(state, slots, load))
 
 
--- a/damaskbay/daemon/rates.py
+++ b/damaskbay/daemon/rates.py
@@ -75,7 +75,11 @@
     def acquire(
         self, workspace: str, limits: tuple[str, ...], *, deadline: float, now: float
     ) -> Refusal | None:
-        """Spend one token of each bucket or none; return None if admitted."""
+        """
+        Spend one token of each bucket or none; return None if admitted.
+
+        Blocks until the deadline, but at most `MAX_WAIT_S`, if tokens are missing.
+        """
         state = self._config.state()
         if state is None:
             return not_run(Reason.NO_CONFIGURATION)
--- a/damaskbay/daemon/rates_stock.py
+++ b/damaskbay/daemon/rates_stock.py
@@ -15,7 +15,7 @@
 
 @dataclass(eq=False, slots=True)
 class Waiter:
-    """A call that waits for tokens; the future is None (admitted) or a refusal."""
+    """A call that waits for tokens; its future gives a refusal, or None if admitted."""
 
     buckets: tuple[str, ...]
     future: "Future[Refusal | None]" = field(default_factory=Future)
@@ -30,7 +30,7 @@
         self._waiters: list[Waiter] = []
 
     def acquire(self, buckets: tuple[str, ...], now: float) -> Refusal | Waiter | None:
-        """Spend one token of each bucket or refuse; if tokens are missing, queue."""
+        """Spend one token of each bucket, or return a refusal or a queued waiter."""
         with self._lock:
             self._stock.arrive(buckets, now)
             acquired = self._stock.take(buckets, now)
@@ -64,7 +64,7 @@
             return self._stock.due_asks(waiting, now)
 
     def turn(self, bucket: str) -> int:
-        """Return the index of the group's holder for the last due token request."""
+        """Return the index of the group's holder that gets the last due request."""
         with self._lock:
             return self._stock.turn(bucket)
 
@@ -96,7 +96,11 @@
     def due_closes(
         self, now: float, *, everything: bool = False
     ) -> dict[PeerAddress | None, list[GrantClose]]:
-        """Return the grants to close, by holder; None is this daemon."""
+        """
+        Remove finished token lots and return their closes by holder.
+
+        With `everything` all lots are removed. The key None means this daemon.
+        """
         with self._lock:
             return self._stock.due_closes(now, everything=everything)
 
--- a/damaskbay/daemon/rules.py
+++ b/damaskbay/daemon/rules.py
@@ -9,7 +9,7 @@
 
 
 class CurrentRules:
-    """Reads rules from the configuration set that is active at the time of the call."""
+    """Reads rules from the configuration set that is active when a method is called."""
 
     def __init__(self, source: ConfigSource) -> None:
         self._source = source
--- a/damaskbay/daemon/settings.py
+++ b/damaskbay/daemon/settings.py
@@ -73,7 +73,7 @@
 
 
 class LoggingSettings(_Model):
-    """How the process logs."""
+    """Level, format and rate limit of the process's log lines."""
 
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
     format: Literal["text", "json"] = "text"
--- a/damaskbay/daemon/target.py
+++ b/damaskbay/daemon/target.py
@@ -85,7 +85,7 @@
         admitted.add_done_callback(on_admitted)
 
     def _admit(self, call: TargetCall) -> tuple["Future[Refusal | None]", Ticket]:
-        """Submit a call for admission; the future is None, or a refusal."""
+        """Submit a call for admission; the future is a refusal, or None if admitted."""
         admitted: Future[Refusal | None] = Future()
         submitted_at = self._clock()
 
--- a/damaskbay/helpers/clock.py
+++ b/damaskbay/helpers/clock.py
@@ -8,4 +8,4 @@
 monotonic_s: Final[Callable[[], float]] = partial(
     time.clock_gettime, time.CLOCK_BOOTTIME
 )
-"""Return monotonic seconds; time counts while the machine is suspended, too."""
+"""Return monotonic seconds, including time for which the machine is suspended."""
--- a/damaskbay/helpers/hashing.py
+++ b/damaskbay/helpers/hashing.py
@@ -1,4 +1,4 @@
-"""Hashes that are equal in every process, so that all daemons choose alike."""
+"""Hashes that are equal in every process, so that all daemons agree."""
 
 import hashlib
 
--- a/damaskbay/helpers/http_exchange.py
+++ b/damaskbay/helpers/http_exchange.py
@@ -57,8 +57,8 @@
         """
         Write data; raise ConnectionError if not connected.
 
-        `http.client` would connect here, and `wrote` would be set although the
-        connection attempt failed.
+        `http.client` would open a missing connection here, and `wrote` would be set
+        even if that failed.
         """
         if self.sock is None:
             raise ConnectionError("connection is not open")
--- a/damaskbay/helpers/logs.py
+++ b/damaskbay/helpers/logs.py
@@ -109,8 +109,8 @@
     listener = logging.handlers.QueueListener(records, writer)
     listener.start()
     atexit.register(listener.stop)
-    # Each of these costs a lookup per line, one even a system call, and no line
-    # contains them.
+    # Each of these fields costs a lookup per record, one of them a system call, and
+    # the format does not use them.
     logging.logThreads = logging.logProcesses = logging.logMultiprocessing = False
     root = logging.getLogger()
     root.handlers[:] = [handler]
--- a/tests/daemon/common.py
+++ b/tests/daemon/common.py
@@ -154,7 +154,7 @@
         deadline: float,
         cancellation: Cancellation,
     ) -> Answer | Refusal:
-        """Count a run, unless the next outcome is a refusal that did not run."""
+        """Return the next outcome; count a run unless it is a `not_run` refusal."""
         with self._lock:
             outcome = self.outcomes.pop(0) if self.outcomes else None
             if isinstance(outcome, Refusal) and outcome.not_run:
--- a/tests/daemon/rates_common.py
+++ b/tests/daemon/rates_common.py
@@ -187,4 +187,4 @@
         if condition():
             return
         pause.wait(0.01)
-    raise AssertionError("the condition never came true")
+    raise AssertionError("the condition did not become true in time")
--- a/tests/daemon/test_config_faults.py
+++ b/tests/daemon/test_config_faults.py
@@ -110,8 +110,8 @@
         )
         assert running.versions() == {1}
         running.operator.write_head(b"half")
-        west = next(iter(services))
-        wait_until(lambda: _proof_age_s(west) > 3 * OPTIONS.outage_after_s)
+        service = next(iter(services))
+        wait_until(lambda: _proof_age_s(service) > 3 * OPTIONS.outage_after_s)
         assert running.versions() == {1}
 
 
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -46,14 +46,14 @@
 
 
 def test_valid_settings() -> None:
-    """A complete document is valid, and omitted settings have defaults."""
+    """A document with all required settings is valid; the others get defaults."""
     found = check_settings(_document(), "file")
     assert isinstance(found, DaemonSettings)
     assert found.limits.caller_threads > 0
 
 
 def test_each_fault_names_its_field_and_file() -> None:
-    """All errors are reported together; a host name is not an IP address."""
+    """All errors are reported together, also a host name in place of an address."""
     document = _document(
         instance="",
         platform={"host": "platform.example", "port": 1},
--- a/tests/helpers/test_header_sieve.py
+++ b/tests/helpers/test_header_sieve.py
@@ -21,7 +21,7 @@
 
 
 def test_the_first_of_repeated_headers_is_read() -> None:
-    """The value of the first id counts; both are forwarded unchanged."""
+    """The first of two ids is read; both headers are forwarded unchanged."""
     headers = (("X-Id", "1"), ("x-id", "2"))
     kept, values = _filter().sift(headers)
     assert kept == headers
--- a/tests/helpers/test_logs.py
+++ b/tests/helpers/test_logs.py
@@ -20,7 +20,7 @@
 
 
 def test_storms_are_cut_and_counted() -> None:
-    """Each message is limited per second; the next line has the suppressed count."""
+    """Each message is limited per second; a later line has the suppressed count."""
     now = 0.0
     limiter = RateLimitFilter(3, clock=lambda: now)
     passed = sum(limiter.filter(_record("edge: %s.", number)) for number in range(10))
