--- a/damaskbay/daemon/calls.py
+++ b/damaskbay/daemon/calls.py
@@ -89,7 +89,7 @@
         return len(self._tree)
 
     def open(self, context: CallContext, listener: NestedCallListener) -> str:
-        """Register a call and return its new call token, valid until `close`."""
+        """Register a call; return its call token, valid until `close` or `cancel`."""
         token = secrets.token_urlsafe(TOKEN_BYTES)
         with self._lock:
             self._tree.open(context, token)
@@ -97,7 +97,7 @@
         return token
 
     def close(self, token: str) -> ClosedCall:
-        """Unregister a call and cancel its nested calls that are still running."""
+        """Unregister a call, cancel its running nested calls and return its totals."""
         with self._lock:
             nested_s = self._nested_by_token.pop(token).total_until(self._clock())
             closed = self._tree.close(token)
--- a/damaskbay/daemon/config_relay.py
+++ b/damaskbay/daemon/config_relay.py
@@ -96,7 +96,7 @@
         """Ignore messages; this task receives none."""
 
     def tick(self, now: float) -> None:
-        """Renew the lease when due and watch the head once."""
+        """Renew the lease when due and watch the head once; resign if not a relay."""
         self._order.update(self._membership.members())
         if not self._order.leads:
             self._resign()
--- a/damaskbay/daemon/config_service.py
+++ b/damaskbay/daemon/config_service.py
@@ -110,7 +110,7 @@
         return self._state
 
     def subscribe(self, callback: Callable[[ConfigSet], None]) -> None:
-        """Call back, on this task's thread, with the active and each newer set."""
+        """Call `callback` on this task's thread with the active and each newer set."""
         self.post(Subscription(callback))
 
     def report(self) -> ConfigReport:
