--- a/damaskbay/daemon/config_service.py
+++ b/damaskbay/daemon/config_service.py
@@ -41,7 +41,7 @@
     Task that implements ports.fleet.ConfigSource; a context manager.
 
     `source` reads accepted sets, by default from the platform; `contacts` returns
-    daemons of remote failure domains.
+    a few daemons of each failure domain.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         return self._state
 
     def subscribe(self, callback: Callable[[ConfigSet], None]) -> None:
-        """Call back, on this task's thread, with the active and each newer set."""
+        """Call `callback` on this task's thread with the active and each newer set."""
         self.post(Subscription(callback))
 
     def report(self) -> ConfigReport:
@@ -154,7 +154,7 @@
         self._publish_state(now)
 
     def tick(self, now: float) -> None:
-        """Poll a neighbour, and remote failure domains if the proof is too old."""
+        """Send due polls, to remote failure domains too if the proof is too old."""
         members = self._membership.members()
         self._order.update(members)
         self._backup_order.update(members)
