--- a/spec/__init__.py
+++ b/spec/__init__.py
@@ -1,1 +1,1 @@
-"""Specification of the core protocol, checked state by state."""
+"""Models of the core protocols for an explicit-state model checker."""
--- a/spec/shares.py
+++ b/spec/shares.py
@@ -1,11 +1,11 @@
 """
-Model of shares and leases: two holders, the platform, time in whole ticks.
+Model of shares and leases: two holders, the platform, time in integer ticks.
 
-Holders write the ledger with the product's own drafts and claims. A write may
-be lost, may land late, and its answer may be lost, or come as a conflict
-although it took effect. Holders pause (take no step while time goes on), stop,
-and restart with nothing. Counters are renamed by rank, so that the state space
-is finite without a bound on the number of writes.
+Holders write the ledger with the drafts and claims of damaskbay. A write may be
+lost or applied late. Its reply may be lost, or report a conflict although the
+write took effect. Holders may pause (take no step while time passes), stop, and
+restart without state. Counters are replaced by their ranks, which keeps the
+state space finite without a bound on the number of writes.
 """
 
 from collections.abc import Iterator
@@ -18,12 +18,12 @@
 from damaskbay.core.rates.bucket import HolderBucket, Share
 from damaskbay.core.rates.ledger import GroupLedger, LedgerDraft
 from damaskbay.core.rates.view import LedgerView
-from spec.renaming import renamed
+from spec.renaming import renumber_by_rank
 from spec.state import (
     BUCKET,
     BURST_MILLIS,
-    MOST_TOKENS,
-    OLDEST,
+    MAX_AGE_TICKS,
+    MAX_TOKENS,
     UNITS,
     UNLIMITED,
     VALIDITY_TICKS,
@@ -31,20 +31,20 @@
     Ledger,
     World,
     Write,
-    claims_of,
-    confirmed,
+    confirmed_share,
     from_ledger,
     new_holder,
     ordered,
     share_in,
+    share_of_units,
     to_ledger,
     total_of,
-    units_share,
+    view_and_claims,
 )
 
 
 class Broken(Enum):
-    """A rule that is left out, so that the checker must find what it is for."""
+    """A rule that the model omits; the checker must then find a violation."""
 
     NOTHING = "nothing"
     RECLAIM_AT_ONCE = "a silent holder's share is taken without waiting"
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Model:
-    """The transitions under one choice of rules."""
+    """Transitions of the protocol, with at most one rule omitted."""
 
     broken: Broken = Broken.NOTHING
     versions: tuple[int, ...] = (1,)
@@ -72,7 +72,7 @@
     units: tuple[int, ...] = (0, UNITS)
 
     def protocol(self) -> Protocol:
-        """Return the model for the checker."""
+        """Return the protocol for minicheck."""
         first = new_holder(1, self.versions[0])
         second = new_holder(2, self.versions[-1])
         start = World(
@@ -85,115 +85,122 @@
             initial=tuple(start),
             transitions=lambda state: list(self.steps(World(*state))),
             invariants={
-                "window": lambda state: state["spent"] <= MOST_TOKENS,
+                "window": lambda state: state["spent"] <= MAX_TOKENS,
                 "tokens fit the burst": _tokens_fit,
-                "one holder of each share": self._shares_are_split,
-                "versions only grow": _version_stands,
+                "one holder of each share": self._valid_shares_fit,
+                "versions only grow": _version_is_newest,
             },
-            goal=self._all_is_held_by_first,
+            goal=self._first_holds_full_bucket,
         )
 
     def steps(self, world: World) -> Iterator[tuple[str, tuple[Any, ...]]]:
-        """Return every labelled successor."""
-        yield "tick", self._named(self._tick(world))
+        """Yield a label and the state of each successor."""
+        yield "tick", self._canonical(self._tick(world))
         for index, holder in enumerate(world.holders):
             for label, next_world in self._holder_steps(world, index, holder):
-                yield f"{index}: {label}", self._named(next_world)
-        for name, write in world.flying:
-            for label, next_world in self._landings(world, name, write):
-                yield f"of {name}: {label}", self._named(next_world)
+                yield f"{index}: {label}", self._canonical(next_world)
+        for name, write in world.in_flight:
+            for label, next_world in self._late_write_steps(world, name, write):
+                yield f"of {name}: {label}", self._canonical(next_world)
 
     def _holder_steps(
         self, world: World, index: int, holder: Holder
     ) -> Iterator[tuple[str, World]]:
         if holder.tokens >= 1 and self._may_spend(holder):
             spent = holder._replace(tokens=holder.tokens - 1)
-            deeper = world._replace(spent=min(world.spent, MOST_TOKENS) + 1)
-            yield "spend", _with(deeper, index, spent)
+            counted = world._replace(spent=min(world.spent, MAX_TOKENS) + 1)
+            yield "spend", _with_holder(counted, index, spent)
         if world.crashes_left and index == 1:
-            fresh = new_holder(holder.name + 2, holder.version)
+            restarted = new_holder(holder.name + 2, holder.version)
             after = world._replace(crashes_left=world.crashes_left - 1)
-            yield "crash and restart", _with(after, index, fresh)
+            yield "crash and restart", _with_holder(after, index, restarted)
         if holder.must_read:
-            yield "read", _with(world, index, self._settled(world, holder))
+            yield "read", _with_holder(world, index, self._after_read(world, holder))
         elif not world.writes_left:
             return
         elif holder.open is not None:
-            yield from self._writes(world, index, holder, holder.open, "write again")
+            yield from self._write_steps(
+                world, index, holder, holder.open, "write again"
+            )
         else:
             for units in self.units:
                 proposed, write = self._propose(holder, units)
                 label = f"write {units}"
-                yield from self._writes(world, index, proposed, write, label)
+                yield from self._write_steps(world, index, proposed, write, label)
 
-    def _writes(
+    def _write_steps(
         self, world: World, index: int, holder: Holder, write: Write, label: str
     ) -> Iterator[tuple[str, World]]:
-        """Send a write: it is answered, its answer is lost, or it comes late."""
+        """Send a write: it is confirmed, its reply is lost, or it is delayed."""
         if world.writes_left < UNLIMITED:
             world = world._replace(writes_left=world.writes_left - 1)
-        after = _landed(world, write)
-        answered = self._settled(after, holder)
-        yield label, _with(after, index, answered)
+        after = _after_write(world, write)
+        read_back = self._after_read(after, holder)
+        yield label, _with_holder(after, index, read_back)
         if not world.faults_left:
             return
         after = after._replace(faults_left=world.faults_left - 1)
-        unsure = holder._replace(must_read=True)
-        yield f"{label}, no answer", _with(after, index, unsure)
-        if not any(name == holder.name for name, _ in world.flying):
-            flying = ordered((*world.flying, (holder.name, write)))
+        unconfirmed = holder._replace(must_read=True)
+        yield f"{label}, no answer", _with_holder(after, index, unconfirmed)
+        if not any(name == holder.name for name, _ in world.in_flight):
+            in_flight = ordered((*world.in_flight, (holder.name, write)))
             faults_left = world.faults_left - 1
-            late = world._replace(flying=flying, faults_left=faults_left)
-            yield f"{label}, on its way", _with(late, index, unsure)
+            late = world._replace(in_flight=in_flight, faults_left=faults_left)
+            yield f"{label}, on its way", _with_holder(late, index, unconfirmed)
 
-    def _landings(
+    def _late_write_steps(
         self, world: World, name: int, write: Write
     ) -> Iterator[tuple[str, World]]:
-        rest = tuple(item for item in world.flying if item != (name, write))
-        yield "late write is lost", world._replace(flying=rest)
+        rest = tuple(item for item in world.in_flight if item != (name, write))
+        yield "late write is lost", world._replace(in_flight=rest)
         if world.revision == write.expected:
-            yield "late write lands", _landed(world._replace(flying=rest), write)
+            yield (
+                "late write lands",
+                _after_write(world._replace(in_flight=rest), write),
+            )
 
     def _tick(self, world: World) -> World:
-        holders = [self._aged(holder) for holder in world.holders]
-        flying = ordered((owner, _older(write)) for owner, write in world.flying)
+        holders = [self._after_tick(holder) for holder in world.holders]
+        in_flight = ordered(
+            (owner, _aged_write(write)) for owner, write in world.in_flight
+        )
         return world._replace(
             holders=(holders[0], holders[1]),
-            flying=flying,
+            in_flight=in_flight,
             spent=max(0, world.spent - 1),
         )
 
-    def _aged(self, holder: Holder) -> Holder:
+    def _after_tick(self, holder: Holder) -> Holder:
         bucket = HolderBucket(self._share(holder), holder.tokens, 0.0)
         ages = tuple(
-            (name, sequence, min(age + 1, OLDEST))
+            (name, sequence, min(age + 1, MAX_AGE_TICKS))
             for name, sequence, age in holder.ages
         )
         return holder._replace(
             tokens=int(bucket.level(1.0)),
             ages=ages,
             mark_age=min(holder.mark_age + 1, UNITS),
-            left=max(0, holder.left - 1),
-            open=_older(holder.open) if holder.open else None,
+            ticks_left=max(0, holder.ticks_left - 1),
+            open=_aged_write(holder.open) if holder.open else None,
         )
 
     def _may_spend(self, holder: Holder) -> bool:
         if self.broken is Broken.SPEND_WHEN_LAPSED:
             return True
-        return claims_of(holder)[1].valid(0.0)
+        return view_and_claims(holder)[1].valid(0.0)
 
     def _share(self, holder: Holder) -> Share:
         if self.broken is Broken.LOWER_WHEN_CONFIRMED:
-            return confirmed(holder)
+            return confirmed_share(holder)
         if self.broken is Broken.COUNT_ON_LARGEST:
             proposed = holder.open.ledger if holder.open else None
-            shares = (confirmed(holder), share_in(proposed, holder.name))
+            shares = (confirmed_share(holder), share_in(proposed, holder.name))
             return max(shares, key=lambda item: item.burst_millis)
-        return claims_of(holder)[1].share(BUCKET)
+        return view_and_claims(holder)[1].share(BUCKET)
 
-    def _settled(self, world: World, holder: Holder) -> Holder:
-        """Take in the ledger as it stands, by the product's own rules."""
-        _, claims = claims_of(holder)
+    def _after_read(self, world: World, holder: Holder) -> Holder:
+        """Return the holder after a ledger read, by the rules of damaskbay."""
+        _, claims = view_and_claims(holder)
         ledger = to_ledger(world.ledger) if world.ledger else GroupLedger()
         tokens = claims.settle(ledger, world.revision, 0.0).tokens_by_bucket
         left = int(max(0.0, claims.valid_until))
@@ -207,27 +214,27 @@
             and world.ledger is not None
             and holder.known.mark == world.ledger.mark
         )
-        ages = _followed(holder, world.ledger)
-        settled = holder._replace(
+        ages = _updated_ages(holder, world.ledger)
+        updated = holder._replace(
             known=world.ledger,
             revision=world.revision,
             mark_age=holder.mark_age if same_mark else 0,
             ages=ages,
-            left=left,
+            ticks_left=left,
             open=still_open,
             must_read=False,
         )
-        return self._filled(settled, holder.tokens, tokens.get(BUCKET, 0))
+        return self._with_tokens(updated, holder.tokens, tokens.get(BUCKET, 0))
 
-    def _filled(self, holder: Holder, tokens: int, tokens_millis: int) -> Holder:
+    def _with_tokens(self, holder: Holder, tokens: int, tokens_millis: int) -> Holder:
         bucket = HolderBucket(self._share(holder), tokens, 0.0)
         bucket.add_tokens(tokens_millis / 1000, 0.0)
         return holder._replace(tokens=int(bucket.level(0.0)))
 
     def _propose(self, holder: Holder, units: int) -> tuple[Holder, Write]:
-        """Write what the holder wants next, with the product's own draft."""
-        view, _ = claims_of(holder)
-        base = self._base(view.ledger)
+        """Return the holder and its next write, built with a draft of damaskbay."""
+        view, _ = view_and_claims(holder)
+        base = self._draft_base(view.ledger)
         draft = LedgerDraft(base, lambda bucket: view.observed_s(bucket, 0.0))
         for name in self._reclaimable(holder, view):
             draft.remove_holder(name)
@@ -237,7 +244,7 @@
         record = draft.record(BUCKET)
         assert record is not None
         own = record.share_of(name).within(self._share(holder))
-        target = units_share(units).within(
+        target = share_of_units(units).within(
             Share(record.total.rate_millis, record.total.burst_millis)
         )
         lowered = own.within(target)
@@ -267,7 +274,7 @@
             sequence=sequence,
         )
         left_tokens = holder.tokens - handed // 1000
-        return self._filled(proposed, left_tokens, 0), write
+        return self._with_tokens(proposed, left_tokens, 0), write
 
     def _reclaimable(self, holder: Holder, view: LedgerView) -> tuple[str, ...]:
         others = tuple(str(item[0]) for item in holder.ages)
@@ -278,30 +285,30 @@
         lapsed = view.lapsed(0.0, 0.0)
         return tuple(name for name in lapsed if name in others)
 
-    def _base(self, ledger: GroupLedger) -> GroupLedger:
+    def _draft_base(self, ledger: GroupLedger) -> GroupLedger:
         record = ledger.buckets_by_name.get(BUCKET)
         again = self.broken is Broken.FIRST_TOKENS_AGAIN
-        if not again or record is None or record.free != units_share(UNITS):
+        if not again or record is None or record.free != share_of_units(UNITS):
             return ledger
         full = replace(record, spare_millis=UNITS * BURST_MILLIS)
         return GroupLedger(ledger.holders_by_id, {BUCKET: full})
 
-    def _shares_are_split(self, state: dict[str, Any]) -> bool:
-        valid = [item for item in state["holders"] if item.left > 0]
+    def _valid_shares_fit(self, state: dict[str, Any]) -> bool:
+        valid = [item for item in state["holders"] if item.ticks_left > 0]
         burst = sum(self._share(item).burst_millis for item in valid)
         return burst <= UNITS * BURST_MILLIS
 
-    def _all_is_held_by_first(self, state: dict[str, Any]) -> bool:
+    def _first_holds_full_bucket(self, state: dict[str, Any]) -> bool:
         first = state["holders"][0]
         whole = self._share(first).burst_millis == UNITS * BURST_MILLIS
-        return bool(whole and first.left and first.tokens == MOST_TOKENS)
+        return bool(whole and first.ticks_left and first.tokens == MAX_TOKENS)
 
-    def _named(self, world: World) -> tuple[Any, ...]:
-        return tuple(renamed(world))
+    def _canonical(self, world: World) -> tuple[Any, ...]:
+        return tuple(renumber_by_rank(world))
 
 
-def _landed(world: World, write: Write) -> World:
-    """Compare and swap."""
+def _after_write(world: World, write: Write) -> World:
+    """Apply a write by compare-and-swap on the revision."""
     if world.revision != write.expected:
         return world
     newest = max(world.newest, write.ledger.version)
@@ -317,27 +324,27 @@
 
 
 def _tokens_fit(state: dict[str, Any]) -> bool:
-    """Tell whether tokens that can be spent fit beside those just spent."""
-    valid = sum(item.tokens for item in state["holders"] if item.left > 0)
-    return bool(valid + state["spent"] <= MOST_TOKENS)
+    """Return whether spendable and recently spent tokens stay within the burst."""
+    valid = sum(item.tokens for item in state["holders"] if item.ticks_left > 0)
+    return bool(valid + state["spent"] <= MAX_TOKENS)
 
 
-def _version_stands(state: dict[str, Any]) -> bool:
+def _version_is_newest(state: dict[str, Any]) -> bool:
     ledger = state["ledger"]
     return ledger is None or ledger.version == state["newest"]
 
 
-def _with(world: World, index: int, holder: Holder) -> World:
+def _with_holder(world: World, index: int, holder: Holder) -> World:
     holders = list(world.holders)
     holders[index] = holder
     return world._replace(holders=(holders[0], holders[1]))
 
 
-def _older(write: Write) -> Write:
-    return write._replace(left=max(0, write.left - 1))
+def _aged_write(write: Write) -> Write:
+    return write._replace(ticks_left=max(0, write.ticks_left - 1))
 
 
-def _followed(
+def _updated_ages(
     holder: Holder, ledger: Ledger | None
 ) -> tuple[tuple[int, int, int], ...]:
     known = {(name, sequence): age for name, sequence, age in holder.ages}
--- a/spec/state.py
+++ b/spec/state.py
@@ -1,4 +1,4 @@
-"""States of the model of shares, and the product's objects that they stand for."""
+"""States of the shares model and their conversion to the classes of damaskbay."""
 
 from collections.abc import Iterable
 from functools import cache
@@ -17,38 +17,38 @@
 
 BUCKET = "w/a"
 UNITS = 1
-"""A bucket is split into this many equal parts of rate and burst."""
+"""Number of equal shares that a bucket is split into."""
 RATE_MILLIS = 1000
 BURST_MILLIS = 1000
 VALIDITY_TICKS = 1
-OLDEST = VALIDITY_TICKS + 1
-MOST_TOKENS = UNITS
+MAX_AGE_TICKS = VALIDITY_TICKS + 1
+MAX_TOKENS = UNITS
 UNLIMITED = 1000
 
 
 class Ledger(NamedTuple):
-    """The ledger of one bucket in small numbers."""
+    """Compact form of the ledger of one bucket."""
 
     spare: int
     mark: int
     version: int
     holdings: tuple[tuple[int, int, int], ...]
-    """Holder, sequence, units."""
+    """Tuples of holder, sequence and units."""
 
 
 class Write(NamedTuple):
-    """A proposal; `left` is the validity that its confirmation would give."""
+    """A proposed write; its confirmation is valid for `ticks_left` more ticks."""
 
     ledger: Ledger
     expected: int
     sequence: int
-    left: int
+    ticks_left: int
     handed: int
     taken: int
 
 
 class Holder(NamedTuple):
-    """One holder process and what it knows."""
+    """State of one holder process."""
 
     name: int
     version: int
@@ -56,8 +56,8 @@
     revision: int
     mark_age: int
     ages: tuple[tuple[int, int, int], ...]
-    """Of each holder seen: name, sequence, ticks without a change."""
-    left: int
+    """Tuples of holder, its last sequence and the ticks since that changed."""
+    ticks_left: int
     tokens: int
     open: Write | None
     sequence: int
@@ -69,44 +69,44 @@
 
     ledger: Ledger | None
     revision: int
-    flying: tuple[tuple[int, Write], ...]
+    in_flight: tuple[tuple[int, Write], ...]
     holders: tuple[Holder, Holder]
     spent: int
-    """Depth of the bucket that all spending fills, in tokens."""
+    """Level of a leaky bucket that counts all spent tokens."""
     newest: int
     crashes_left: int
     faults_left: int
-    """Answers that may still be lost or come late."""
+    """How many more replies may be lost or writes delayed."""
     writes_left: int
-    """Writes that may still be begun."""
+    """How many more writes may be sent."""
 
 
 def new_holder(name: int, version: int) -> Holder:
-    """Return a holder process that has just started."""
+    """Return the state of a holder process that has just started."""
     return Holder(name, version, None, 0, 0, (), 0, 0, None, 0, False)
 
 
 @cache
-def units_share(units: int) -> Share:
-    """Return a share of so many units."""
+def share_of_units(units: int) -> Share:
+    """Return the share that consists of `units` units."""
     return Share(units * RATE_MILLIS, units * BURST_MILLIS)
 
 
 def total_of(version: int) -> Total:
-    """Return the total that a version says: the second withdraws the bucket."""
-    share = units_share(UNITS if version == 1 else 0)
+    """Return the total in a configuration version; version 2 removes the bucket."""
+    share = share_of_units(UNITS if version == 1 else 0)
     return Total(share.rate_millis, share.burst_millis, version)
 
 
 @cache
 def to_ledger(ledger: Ledger) -> GroupLedger:
-    """Return the product's ledger."""
+    """Return the ledger as the class of damaskbay."""
     holders = {
         str(name): HolderRecord(sequence, VALIDITY_TICKS)
         for name, sequence, _ in ledger.holdings
     }
     holdings = {
-        str(name): Holding(units_share(units)) for name, _, units in ledger.holdings
+        str(name): Holding(share_of_units(units)) for name, _, units in ledger.holdings
     }
     total = total_of(ledger.version)
     record = BucketRecord(total, ledger.spare, ledger.mark, holdings)
@@ -114,7 +114,7 @@
 
 
 def from_ledger(ledger: GroupLedger) -> Ledger:
-    """Return the small numbers of a ledger."""
+    """Return the compact form of a ledger of damaskbay."""
     record = ledger.buckets_by_name[BUCKET]
     holdings = sorted(
         (
@@ -131,32 +131,32 @@
 
 @cache
 def to_proposal(write: Write) -> Proposal:
-    """Return the product's proposal; now is 0."""
+    """Return the proposal as the class of damaskbay; the current time is 0."""
     return Proposal(
         to_ledger(write.ledger),
         write.expected,
         write.sequence,
-        float(write.left - VALIDITY_TICKS),
+        float(write.ticks_left - VALIDITY_TICKS),
         handed_by_bucket={BUCKET: write.handed},
         taken_by_bucket={BUCKET: write.taken},
     )
 
 
 def share_in(ledger: Ledger | None, name: int) -> Share:
-    """Return a holder's share as a ledger says."""
+    """Return a holder's share according to a ledger; empty without a ledger."""
     if ledger is None:
-        return units_share(0)
+        return share_of_units(0)
     units = sum(item[2] for item in ledger.holdings if item[0] == name)
-    return units_share(units)
+    return share_of_units(units)
 
 
-def confirmed(holder: Holder) -> Share:
-    """Return the share that the ledger known to a holder gives it."""
+def confirmed_share(holder: Holder) -> Share:
+    """Return a holder's share in the ledger that it last read."""
     return share_in(holder.known, holder.name)
 
 
-def claims_of(holder: Holder) -> tuple[LedgerView, Claims]:
-    """Rebuild the product's view and claims; now is 0."""
+def view_and_claims(holder: Holder) -> tuple[LedgerView, Claims]:
+    """Return the view and claims of damaskbay for a holder; the current time is 0."""
     view = LedgerView(contact_s=1.0)
     if holder.known is not None:
         view.update(to_ledger(holder.known), holder.revision, 0.0)
@@ -165,12 +165,12 @@
             str(name): _Seen(sequence, -age) for name, sequence, age in holder.ages
         }
     claims = Claims(str(holder.name), view, VALIDITY_TICKS)
-    claims.valid_until = holder.left
+    claims.valid_until = holder.ticks_left
     if holder.open is not None:
         claims.propose(to_proposal(holder.open))
     return view, claims
 
 
 def ordered(items: Iterable[tuple[int, Write]]) -> tuple[tuple[int, Write], ...]:
-    """Return writes on their way in one order."""
+    """Return the writes in flight, sorted, so that equal states compare equal."""
     return tuple(sorted(items))
--- a/spec/tokens.py
+++ b/spec/tokens.py
@@ -1,8 +1,9 @@
 """
-Model of granted tokens: one holder, two daemons, and a holder that takes over.
+Model of granted tokens: a holder, its daemons and a second holder.
 
-The holder's bucket is the product's own. Asks, grants and closes are lost,
-doubled and overtake each other. The holder may hand half of its share on.
+The holder uses the bucket of damaskbay. Requests for tokens, grants and closes
+may be lost, duplicated and reordered. The holder may hand half of its share to
+the second holder.
 """
 
 from collections.abc import Iterator
@@ -15,14 +16,14 @@
 from damaskbay.core.rates.bucket import HolderBucket, Share
 
 BURST_TOKENS = 2
-WHOLE = Share(1000, 2000)
-HALF = Share(500, 1000)
+FULL_SHARE = Share(1000, 2000)
+HALF_SHARE = Share(500, 1000)
 VALIDITY_TICKS = 2
-OLDEST = VALIDITY_TICKS + 1
+MAX_AGE_TICKS = VALIDITY_TICKS + 1
 
 
 class Broken(Enum):
-    """A rule that is left out, so that the checker must find what it is for."""
+    """A rule that the model omits; the checker must then find a violation."""
 
     NOTHING = "nothing"
     GRANTS_NOT_COUNTED = "granted tokens leave room for new ones at once"
@@ -32,7 +33,7 @@
 
 
 class Kind(Enum):
-    """What a message is."""
+    """Kind of a message."""
 
     ASK = "ask"
     GRANT = "grant"
@@ -40,7 +41,7 @@
 
 
 class Message(NamedTuple):
-    """A message under way; `age` counts from the sending of the ask."""
+    """A message in flight; `age` is the number of ticks since the request."""
 
     kind: str
     number: int
@@ -49,7 +50,7 @@
 
 
 class Lot(NamedTuple):
-    """Tokens at a daemon."""
+    """Granted tokens that a daemon has."""
 
     number: int
     tokens: int
@@ -57,32 +58,32 @@
 
 
 class World(NamedTuple):
-    """One state of the model; tokens of the holders in halves."""
+    """One state of the model; levels of holders are in half tokens."""
 
-    whole: bool
+    has_full_share: bool
     level: int
     grants: tuple[tuple[int, int, int], ...]
-    """Number, count, ticks until it lapses."""
+    """Tuples of request number, token count and ticks until the grant lapses."""
     taker_level: int
-    under_way: tuple[Message, ...]
+    in_flight: tuple[Message, ...]
     lots: tuple[Lot, ...]
     closed: tuple[int, ...]
     next_number: int
     spent: int
-    doubles_left: int
-    """Messages that may still come twice."""
+    duplicates_left: int
+    """How many more messages may be duplicated."""
 
 
 @dataclass(frozen=True)
 class Model:
-    """The transitions under one choice of rules."""
+    """Transitions of the protocol, with at most one rule omitted."""
 
     broken: Broken = Broken.NOTHING
     asks: int = 2
     doubles: int = 1
 
     def protocol(self) -> Protocol:
-        """Return the model for the checker."""
+        """Return the protocol for minicheck."""
         start = World(True, 2 * BURST_TOKENS, (), 0, (), (), (), 0, 0, self.doubles)
         return Protocol(
             name=f"tokens, {self.broken.value} left out",
@@ -94,26 +95,26 @@
             ],
             invariants={
                 "window": lambda state: state["spent"] <= 2 * BURST_TOKENS,
-                "tokens fit the burst": self._fits,
+                "tokens fit the burst": self._tokens_fit,
             },
         )
 
     def steps(self, world: World) -> Iterator[tuple[str, World]]:
-        """Return every labelled successor."""
+        """Yield a label and the state of each successor."""
         yield "tick", self._tick(world)
         if world.next_number < self.asks:
             ask = Message(Kind.ASK.value, world.next_number, 0, 0)
             sent = _send(world, ask)
             yield "ask", sent._replace(next_number=world.next_number + 1)
-        for message in world.under_way:
-            rest = tuple(item for item in world.under_way if item != message)
+        for message in world.in_flight:
+            rest = tuple(item for item in world.in_flight if item != message)
             yield (
                 f"{message.kind} arrives",
-                self._arrive(world._replace(under_way=rest), message),
+                self._deliver(world._replace(in_flight=rest), message),
             )
-            if world.doubles_left:
-                doubled = world._replace(doubles_left=world.doubles_left - 1)
-                yield f"{message.kind} is doubled", self._arrive(doubled, message)
+            if world.duplicates_left:
+                doubled = world._replace(duplicates_left=world.duplicates_left - 1)
+                yield f"{message.kind} is doubled", self._deliver(doubled, message)
         for lot in world.lots:
             yield from self._daemon_steps(world, lot)
         yield from self._holder_steps(world)
@@ -132,19 +133,19 @@
         free_to_lower = granted_halves <= 2 or (
             self.broken is Broken.LOWERED_BELOW_GRANTED
         )
-        if world.whole and free_to_lower:
-            bucket.set_share(HALF, 0.0)
+        if world.has_full_share and free_to_lower:
+            bucket.set_share(HALF_SHARE, 0.0)
             kept = int(2 * bucket.level(0.0))
             handed = min(world.level - kept, 2)
             yield (
                 "hand half on",
-                world._replace(whole=False, level=kept, taker_level=handed),
+                world._replace(has_full_share=False, level=kept, taker_level=handed),
             )
         if world.taker_level >= 2:
             taken = world._replace(taker_level=world.taker_level - 2)
             yield "other holder spends", _spend(taken)
 
-    def _arrive(self, world: World, message: Message) -> World:
+    def _deliver(self, world: World, message: Message) -> World:
         if message.kind == Kind.ASK.value:
             return self._on_ask(world, message)
         if message.kind == Kind.GRANT.value:
@@ -165,7 +166,7 @@
         return _send(after, grant)
 
     def _on_grant(self, world: World, message: Message) -> World:
-        """Take in a grant, once for each ask."""
+        """Accept a grant, once for each request."""
         known = {lot.number for lot in world.lots} | set(world.closed)
         if message.number in known:
             return world
@@ -188,46 +189,46 @@
         level = int(2 * bucket.level(1.0))
         grants = tuple((n, c, left - 1) for n, c, left in world.grants if left > 1)
         taker_level = 0
-        if not world.whole:
-            taker = HolderBucket(HALF, world.taker_level / 2, 0.0)
+        if not world.has_full_share:
+            taker = HolderBucket(HALF_SHARE, world.taker_level / 2, 0.0)
             taker_level = int(2 * taker.level(1.0))
         return world._replace(
             level=level,
             grants=grants,
             taker_level=taker_level,
-            under_way=_still_under_way(world.under_way),
+            in_flight=_aged_messages(world.in_flight),
             lots=tuple(
-                lot._replace(age=min(lot.age + 1, OLDEST)) for lot in world.lots
+                lot._replace(age=min(lot.age + 1, MAX_AGE_TICKS)) for lot in world.lots
             ),
             spent=max(0, world.spent - 2),
         )
 
     def _bucket(self, world: World) -> HolderBucket:
-        """Rebuild the product's bucket; now is 0."""
-        bucket = HolderBucket(WHOLE, BURST_TOKENS, 0.0)
+        """Return the bucket as the class of damaskbay; the current time is 0."""
+        bucket = HolderBucket(FULL_SHARE, BURST_TOKENS, 0.0)
         for number, count, left in world.grants:
             bucket.grant(str(number), count, float(left), 0.0)
         bucket.remove_tokens(BURST_TOKENS, 0.0)
         bucket.add_tokens(world.level / 2, 0.0)
-        bucket.set_share(WHOLE if world.whole else HALF, 0.0)
+        bucket.set_share(FULL_SHARE if world.has_full_share else HALF_SHARE, 0.0)
         return bucket
 
-    def _fits(self, state: dict[str, Any]) -> bool:
-        """Tell whether tokens that can be spent fit beside those just spent."""
+    def _tokens_fit(self, state: dict[str, Any]) -> bool:
+        """Return whether spendable and recently spent tokens stay within the burst."""
         in_lots = sum(lot.tokens for lot in state["lots"] if lot.age < VALIDITY_TICKS)
         halves = state["level"] + state["taker_level"] + 2 * in_lots
         return bool(halves + state["spent"] <= 2 * BURST_TOKENS)
 
 
 def _send(world: World, message: Message) -> World:
-    under_way = {*world.under_way, message}
-    return world._replace(under_way=tuple(sorted(under_way)))
+    in_flight = {*world.in_flight, message}
+    return world._replace(in_flight=tuple(sorted(in_flight)))
 
 
-def _still_under_way(messages: tuple[Message, ...]) -> tuple[Message, ...]:
-    """Age the messages; those that are too old are lost."""
+def _aged_messages(messages: tuple[Message, ...]) -> tuple[Message, ...]:
+    """Return the messages one tick older, without those above the maximum age."""
     older = {item._replace(age=item.age + 1) for item in messages}
-    return tuple(sorted(item for item in older if item.age <= OLDEST))
+    return tuple(sorted(item for item in older if item.age <= MAX_AGE_TICKS))
 
 
 def _with_lot(world: World, lot: Lot, changed: Lot) -> World:
