--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""Run the tests; failures that KNOWN-RED.txt lists are printed and passed over."""
+"""Run the tests; failures listed in KNOWN-RED.txt are printed and ignored."""
 
 import argparse
 import sys
@@ -16,11 +16,13 @@
 
 def _known_red() -> set[str]:
     lines = (ROOT / "KNOWN-RED.txt").read_text().splitlines()
-    marked = [line for line in lines if line.startswith(KNOWN_RED_PREFIX)]
-    return {line.removeprefix(KNOWN_RED_PREFIX).strip() for line in marked}
+    entries = [line for line in lines if line.startswith(KNOWN_RED_PREFIX)]
+    return {line.removeprefix(KNOWN_RED_PREFIX).strip() for line in entries}
 
 
-def _named(loader: unittest.TestLoader, names: Sequence[str]) -> unittest.TestSuite:
+def _load_by_name(
+    loader: unittest.TestLoader, names: Sequence[str]
+) -> unittest.TestSuite:
     suite = unittest.TestSuite()
     for name in names:
         found = resolve_name(name)
@@ -39,7 +41,7 @@
     options = parser.parse_args()
     loader = unittest.TestLoader()
     if options.names:
-        suite = _named(loader, options.names)
+        suite = _load_by_name(loader, options.names)
     else:
         suite = loader.discover(str(ROOT / "tests"), top_level_dir=str(ROOT))
     result = unittest.TextTestRunner(verbosity=1 + options.verbose).run(suite)
--- a/tests/bench/__init__.py
+++ b/tests/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of bench."""
+"""Tests of the benchmarks."""
--- a/tests/bench/test_capacity.py
+++ b/tests/bench/test_capacity.py
@@ -1,4 +1,4 @@
-"""The table in docs/CAPACITY.md is the one that the recorded figures give."""
+"""Check that the table in docs/CAPACITY.md matches the recorded results."""
 
 import unittest
 
@@ -7,14 +7,14 @@
 
 
 def test_the_page_holds_the_recomputed_table() -> None:
-    """Neither figures nor verdicts on the page may differ from the records."""
+    """The page shows the figures and verdicts computed from the results."""
     text = PAGE.read_text()
     begin = text.index(BEGIN_MARK) + len(BEGIN_MARK)
     assert text[begin : text.index(END_MARK)].strip() == markdown(table())
 
 
 def test_a_figure_above_its_limit_does_not_fit() -> None:
-    """The verdict follows the limit, not the wish."""
+    """A figure fits at its limit and does not fit above it."""
     assert Line("r", "w", 4.4, 4.4, "%", "m").fits
     assert not Line("r", "w", 4.41, 4.4, "%", "m").fits
 
--- a/tests/bench/test_overload.py
+++ b/tests/bench/test_overload.py
@@ -1,4 +1,4 @@
-"""Failure tests of the policy as a whole, in virtual time."""
+"""Overload tests of the complete call policy, in virtual time."""
 
 import unittest
 from dataclasses import replace
@@ -20,26 +20,26 @@
 
 @cache
 def measure(case: str, system: str = "ours", *, hard_clients: bool = True) -> Measures:
-    """Return the figures of one run at campo."""
-    found = CASES_BY_NAME[case]
-    found = replace(found, hard_clients=found.hard_clients and hard_clients)
-    return run(RunSpec(system, CAMPO, found, SCHEDULE, SEED, Policy())).measures
+    """Return the figures of one run with the topology `CAMPO`."""
+    selected = CASES_BY_NAME[case]
+    selected = replace(selected, hard_clients=selected.hard_clients and hard_clients)
+    return run(RunSpec(system, CAMPO, selected, SCHEDULE, SEED, Policy())).measures
 
 
 def test_same_seed_gives_the_same_figures() -> None:
-    """Nothing but the seed decides a run."""
+    """A run depends on nothing but its seed."""
     again = RunSpec("ours", CAMPO, CASES_BY_NAME["surge"], SCHEDULE, SEED, Policy())
     assert run(again).measures == measure("surge")
 
 
 def test_goodput_holds_in_a_surge() -> None:
-    """Four times the demand leaves the server as busy with whole answers."""
+    """Four times the demand does not reduce the rate of complete responses."""
     assert measure("surge").goodput_share >= GOODPUT_SHARE
     assert measure("surge").goodput_share >= measure("surge", "naive").goodput_share
 
 
 def test_retry_storm_ends_with_its_cause() -> None:
-    """Neither a stall, nor clients that retry at once, nor both, outlast the cause."""
+    """Goodput recovers after slow servers, clients that retry at once, or both."""
     for case in ("surge", "slow_deep_service", "hard_clients", "slow_and_hard_clients"):
         recovery_s = measure(case).recovery_s
         assert recovery_s is not None, case
@@ -47,32 +47,32 @@
 
 
 def test_hard_clients_do_not_lower_goodput() -> None:
-    """Clients that ignore when to return gain nothing and take nothing."""
-    hard = measure("hard_clients").goodput_share
-    polite = measure("hard_clients", hard_clients=False).goodput_share
-    assert hard >= GOODPUT_SHARE * polite
+    """Clients that ignore the retry delay do not lower goodput."""
+    with_hard_clients = measure("hard_clients").goodput_share
+    without_hard_clients = measure("hard_clients", hard_clients=False).goodput_share
+    assert with_hard_clients >= GOODPUT_SHARE * without_hard_clients
 
 
 def test_attempts_stay_bounded_in_a_storm() -> None:
-    """Daemons add no retries of their own to an overload."""
+    """Daemons do not amplify an overload by retries."""
     assert measure("surge").attempts_per_request < 1.0
     assert measure("surge", "naive").attempts_per_request > 2.0
 
 
 def test_important_requests_are_shed_last() -> None:
-    """In a surge filings are nearly all answered while browsing is mostly shed."""
+    """In a surge the top priority is hardly refused and the lowest most often."""
     shares = measure("surge").refused_share_by_priority
     assert shares["0"] < 0.01
     assert shares["0"] < shares["1"] < shares["2"]
 
 
 def test_small_workspace_beside_one_at_five_times_its_rate() -> None:
-    """The worst-served workspace gets nine tenths of its due."""
+    """Each workspace gets at least nine tenths of its share."""
     assert measure("greedy_workspace").worst_workspace_share >= WORKSPACE_SHARE
 
 
 def test_non_idempotent_requests_run_once() -> None:
-    """Neither retries nor lost answers run one twice; the naive version does."""
+    """No retry or lost response runs a request twice, unlike the naive policy."""
     assert all(measure(case.name).ran_twice == 0 for case in CASES)
     assert measure("surge", "naive").ran_twice > 0
 
--- a/tests/common.py
+++ b/tests/common.py
@@ -1,22 +1,22 @@
-"""Shared fixtures and the loader of test functions."""
+"""Loader for test functions."""
 
 import unittest
 from collections.abc import Callable
 from typing import Any
 
 
-class _Function(unittest.FunctionTestCase):
-    """A test function, named by its module."""
+class _FunctionTestCase(unittest.FunctionTestCase):
+    """A test function whose id contains its module."""
 
     def __init__(self, function: Callable[[], None]) -> None:
         super().__init__(function)
-        self._name = f"{function.__module__}.{function.__name__}"
+        self._qualified_name = f"{function.__module__}.{function.__name__}"
 
     def id(self) -> str:
-        return self._name
+        return self._qualified_name
 
     def __str__(self) -> str:
-        return self._name
+        return self._qualified_name
 
     def shortDescription(self) -> None:  # noqa: N802
         return None
@@ -29,4 +29,4 @@
         for name, item in namespace.items()
         if name.startswith("test_") and callable(item)
     ]
-    return unittest.TestSuite(_Function(item) for item in functions)
+    return unittest.TestSuite(_FunctionTestCase(item) for item in functions)
--- a/tests/docs/__init__.py
+++ b/tests/docs/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of docs."""
+"""Tests of the documentation."""
--- a/tests/docs/test_operators_page.py
+++ b/tests/docs/test_operators_page.py
@@ -1,4 +1,4 @@
-"""Tests that the examples of the operators' page hold."""
+"""Check the examples on the operators' page."""
 
 import json
 import re
@@ -22,7 +22,7 @@
 
 
 def test_the_settings_and_the_set_are_valid() -> None:
-    """A newcomer who copies them gets no fault."""
+    """The example settings and configuration set pass validation."""
     settings, example = _json_blocks()
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         json.dump(settings, file)
@@ -32,7 +32,7 @@
 
 
 def test_each_sub_command_on_the_page_exists() -> None:
-    """The page names no command that is gone."""
+    """Each sub-command on the page is a command of the command line."""
     named = set(re.findall(r"(?:`|    (?:\$ )?)damaskbay ([a-z]+)", PAGE.read_text()))
     assert named and named <= set(COMMANDS), named
 
--- a/tests/end_to_end/__init__.py
+++ b/tests/end_to_end/__init__.py
@@ -1,1 +1,1 @@
-"""Tests over real processes on loopback."""
+"""End-to-end tests that run real processes on the loopback interface."""
--- a/tests/end_to_end/common.py
+++ b/tests/end_to_end/common.py
@@ -1,4 +1,4 @@
-"""One small fleet of processes that the tests of this package share."""
+"""Fleet of processes that the tests of this package share."""
 
 import atexit
 import contextlib
@@ -18,11 +18,11 @@
 WAIT_S = 30.0
 
 _stack = contextlib.ExitStack()
-_shared: "list[Running]" = []
+_started_fleets: "list[Running]" = []
 
 
 class Running:
-    """A fleet with its published document and the callers' secrets."""
+    """A fleet, its configuration document and the key secrets of its callers."""
 
     def __init__(self, fleet: Fleet, secrets: dict[str, str]) -> None:
         self.fleet = fleet
@@ -45,7 +45,7 @@
         body: bytes = b"",
         request_id: str | None = None,
     ) -> Answer | Refusal:
-        """Call by way of one daemon, once."""
+        """Send a call through one daemon, without retries."""
         address = DaemonAddress(HOST, self.server(instance).caller_port)
         options = ClientOptions(max_attempts=1)
         with Client([address], self.secrets[workspace], options) as client:
@@ -68,26 +68,26 @@
         return issued
 
     def seen(self, instance: str) -> list[dict[str, Any]]:
-        """Return all requests that a backend server saw."""
+        """Return all requests that a backend server received."""
         connection = http.client.HTTPConnection(
             HOST, self.server(instance).backend_port, timeout=WAIT_S
         )
         try:
             connection.request("GET", "/.stand-in/seen")
-            found: list[dict[str, Any]] = json.loads(connection.getresponse().read())
-            return found
+            requests: list[dict[str, Any]] = json.loads(connection.getresponse().read())
+            return requests
         finally:
             connection.close()
 
 
 def secrets_for_tests() -> dict[str, str]:
-    """Return a fresh key secret for each workspace of the tests."""
+    """Return a new key secret for each workspace of the tests."""
     return secrets_for(WORKSPACES)
 
 
 def running_fleet() -> Running:
-    """Return the shared fleet; it is started once and ends with the tests."""
-    if not _shared:
+    """Return the shared fleet, which starts on first use and stops at exit."""
+    if not _started_fleets:
         secrets = secrets_for_tests()
         plans = [
             ServerPlan(f"{pool}-{domain}", f"domain-{domain}", pool, slots=16)
@@ -99,5 +99,5 @@
         running = Running(fleet, secrets)
         fleet.publish(running.document)
         fleet.wait_ready()
-        _shared.append(running)
-    return _shared[0]
+        _started_fleets.append(running)
+    return _started_fleets[0]
--- a/tests/end_to_end/test_fleet.py
+++ b/tests/end_to_end/test_fleet.py
@@ -1,4 +1,4 @@
-"""What must hold, seen from outside a fleet of processes."""
+"""End-to-end tests of a fleet through its HTTP interfaces and command line."""
 
 import json
 import threading
@@ -19,7 +19,7 @@
 
 
 def test_whole_answers_of_any_size() -> None:
-    """Bodies pass both ways unchanged, beside the daemon and over a stream."""
+    """Bodies arrive unchanged in both directions, locally and over a peer stream."""
     running = running_fleet()
     for pool in POOLS:
         for size in (1, 70_000, 2_000_000):
@@ -36,7 +36,7 @@
 
 
 def test_no_backend_server_sees_a_key() -> None:
-    """Wherever a caller puts its key, no backend server gets it, nested or not."""
+    """Backend servers get no key, wherever callers put it, also in nested calls."""
     running = running_fleet()
     secret = running.secrets["fitters"]
     other = new_key_secret()
@@ -66,7 +66,7 @@
 
 
 def test_a_repeat_runs_once_whichever_daemon_gets_it() -> None:
-    """The same id sent to all daemons at once and again afterwards runs once."""
+    """A request id sent to all daemons at once, and again later, runs once."""
     running = running_fleet()
     request_id = running.request_id("lookup-a")
     target = "/ledger/file/once"
@@ -103,18 +103,18 @@
 
 
 def test_a_withdrawn_key_stops_on_an_open_connection() -> None:
-    """Within seconds of the publication, at each daemon, and only that key."""
+    """Each daemon refuses a withdrawn key within seconds, and no other key."""
     running = running_fleet()
-    without = {**running.document, "keys": dict(running.document["keys"])}
-    del without["keys"]["wells-key"]
+    document_without_key = {**running.document, "keys": dict(running.document["keys"])}
+    del document_without_key["keys"]["wells-key"]
     for name in SERVERS:
         before = running.call(name, "/ledger/w", workspace="wells")
         assert isinstance(before, Answer), before
-    running.fleet.publish(without)
-    limit = time.monotonic() + WITHDRAWN_WITHIN_S
+    running.fleet.publish(document_without_key)
+    deadline = time.monotonic() + WITHDRAWN_WITHIN_S
     for name in SERVERS:
         outcome = running.call(name, "/ledger/w", workspace="wells")
-        while isinstance(outcome, Answer) and time.monotonic() < limit:
+        while isinstance(outcome, Answer) and time.monotonic() < deadline:
             time.sleep(0.05)
             outcome = running.call(name, "/ledger/w", workspace="wells")
         assert isinstance(outcome, Refusal)
@@ -125,7 +125,7 @@
 
 
 def test_operators_see_status_metrics_and_reasons() -> None:
-    """A call is explained by its id; metrics carry no label made up by callers."""
+    """The command line explains a call by its id and shows a ready daemon."""
     running = running_fleet()
     answer = running.call("lookup-a", "/lookup/explained")
     assert isinstance(answer, Answer)
--- a/tests/end_to_end/test_graceful_stop.py
+++ b/tests/end_to_end/test_graceful_stop.py
@@ -1,4 +1,4 @@
-"""A daemon that gets SIGTERM under load cuts no call and gets no new work."""
+"""A daemon that drains under load fails no call and gets no new calls."""
 
 import signal
 import threading
@@ -13,10 +13,10 @@
 from tests.end_to_end.common import WAIT_S, Running, secrets_for_tests
 
 CALLERS = 6
-STOPPED = "ledger-a"
+DRAINED_INSTANCE = "ledger-a"
 LOAD_BEFORE_S = 0.5
 NO_NEW_WORK_AFTER_S = 4.0
-"""Two seconds for the news, and as much again for calls that were under way."""
+"""Two seconds to spread the state, and two for the calls in flight."""
 
 
 def _plans() -> list[ServerPlan]:
@@ -28,45 +28,45 @@
 
 
 def test_sigterm_under_load_cuts_nothing() -> None:
-    """Calls by way of others and to the stopping daemon itself all end whole."""
+    """Calls through peers to the draining daemon all get complete responses."""
     with Fleet(_plans()) as fleet:
         running = Running(fleet, secrets_for_tests())
         fleet.publish(running.document)
         fleet.wait_ready()
         refused: list[Refusal] = []
-        answered = [0]
+        response_count = [0]
         stop = threading.Event()
 
-        def load(entry: str) -> None:
+        def send_calls(instance: str) -> None:
             while not stop.is_set():
                 outcome = running.call(
-                    entry, "/ledger/stop", headers=((HEADER_WORK_MS, "20"),)
+                    instance, "/ledger/stop", headers=((HEADER_WORK_MS, "20"),)
                 )
                 if isinstance(outcome, Answer):
-                    answered[0] += 1
+                    response_count[0] += 1
                 else:
                     refused.append(outcome)
 
         threads = [
-            threading.Thread(target=load, args=(f"lookup-{name}",))
+            threading.Thread(target=send_calls, args=(f"lookup-{name}",))
             for name in "ab" * (CALLERS // 2)
         ]
         for thread in threads:
             thread.start()
         time.sleep(LOAD_BEFORE_S)
-        process = fleet.servers_by_instance[STOPPED].daemon
+        process = fleet.servers_by_instance[DRAINED_INSTANCE].daemon
         assert process is not None
-        fleet.signal_daemon(STOPPED, signal.SIGTERM)
+        fleet.signal_daemon(DRAINED_INSTANCE, signal.SIGTERM)
         time.sleep(NO_NEW_WORK_AFTER_S)
-        seen_late = len(running.seen(STOPPED))
+        seen_late = len(running.seen(DRAINED_INSTANCE))
         process.wait(WAIT_S)
         stop.set()
         for thread in threads:
             thread.join(WAIT_S)
         assert process.returncode == 0
         assert refused == []
-        assert answered[0] > 0
-        assert len(running.seen(STOPPED)) == seen_late
+        assert response_count[0] > 0
+        assert len(running.seen(DRAINED_INSTANCE)) == seen_late
 
 
 def load_tests(*_: object) -> unittest.TestSuite:
--- a/tests/end_to_end/test_settings.py
+++ b/tests/end_to_end/test_settings.py
@@ -1,4 +1,4 @@
-"""Daemons as processes with other settings: TLS, bad files."""
+"""End-to-end tests of daemon settings: TLS and invalid files."""
 
 import json
 import tempfile
@@ -16,7 +16,7 @@
 
 
 def test_daemons_speak_tls_where_the_settings_say_so() -> None:
-    """A call that crosses a stream is answered, and the health is as without."""
+    """With TLS, daemons become ready and calls over a peer stream succeed."""
     plans = [ServerPlan(f"{pool}-a", "domain-a", pool, slots=16) for pool in POOLS]
     with Fleet(plans, {"tls": TLS}) as fleet:
         running = Running(fleet, secrets_for_tests())
@@ -28,13 +28,13 @@
 
 
 def test_check_settings_names_file_and_field() -> None:
-    """A bad file ends with its own exit code and never starts anything."""
+    """An invalid file is reported with its own exit code and starts no daemon."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "daemon.json"
         path.write_text(json.dumps({"instance": "campo-1"}))
-        done = Fleet([]).cli("daemon", "--settings", str(path), "--check-settings")
-    assert done.returncode == EXIT_INVALID
-    assert f"{path}: failure_domain: " in done.stderr
+        result = Fleet([]).cli("daemon", "--settings", str(path), "--check-settings")
+    assert result.returncode == EXIT_INVALID
+    assert f"{path}: failure_domain: " in result.stderr
 
 
 def load_tests(*_: object) -> unittest.TestSuite:
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests that the pages on promises and measurements name what exists."""
+"""Check that the pages on guarantees and measurements match the code."""
 
 import json
 import re
@@ -19,7 +19,7 @@
 
 
 def test_each_promise_names_tests_that_exist() -> None:
-    """No test on the page is gone, and no promise stands without one."""
+    """Each guarantee names at least one test, and all named tests exist."""
     promises = PAGE.split("\n## ")[1:]
     assert len(promises) == PROMISES
     for promise in promises:
@@ -30,36 +30,36 @@
 
 
 def test_each_module_on_the_page_exists() -> None:
-    """The mechanisms stand where the page says."""
+    """All modules named on the page exist."""
     for name in re.findall(r"`([\w/]+\.py)`", PAGE):
         assert (ROOT / name).exists() or (ROOT / "damaskbay" / name).exists(), name
 
 
 def test_each_measurement_has_its_part() -> None:
-    """The page on measurements leaves none out."""
+    """The page on measurements has a section for each measurement."""
     for name in NAMES:
         assert f"\n## {name}\n" in BENCH_PAGE, name
 
 
-def _keys(item: Any, place: str = "") -> set[str]:
-    """Return the dotted places of all figures; a list's objects are one place."""
+def _key_paths(item: Any, path_prefix: str = "") -> set[str]:
+    """Return the dotted paths of all figures; items of a list share one path."""
     if isinstance(item, list):
-        return {key for each in item for key in _keys(each, f"{place}[]")}
+        return {key for each in item for key in _key_paths(each, f"{path_prefix}[]")}
     if not isinstance(item, dict):
-        return {place}
-    places = {name: f"{place}.{name}" if place else name for name in item}
-    return {key for name in item for key in _keys(item[name], places[name])}
+        return {path_prefix}
+    paths = {name: f"{path_prefix}.{name}" if path_prefix else name for name in item}
+    return {key for name in item for key in _key_paths(item[name], paths[name])}
 
 
 def test_each_key_of_the_results_is_in_the_dictionary() -> None:
-    """A recorded figure has its unit and meaning on the page."""
+    """The page documents each recorded figure."""
     general, *parts = re.split(r"\n## (\w+)\n", BENCH_PAGE)
     for name, part in zip(parts[::2], parts[1::2], strict=True):
         cells = re.findall(r"^\| (`.*?) \|", general + part, re.MULTILINE)
         known = re.findall(r"`([\w.\[\]]+)`", " ".join(cells))
         patterns = [re.escape(key).replace("NAME", r"[^.]+") for key in known]
         path = RESULTS / f"{name}.json"
-        for key in _keys(json.loads(path.read_text())) if path.exists() else ():
+        for key in _key_paths(json.loads(path.read_text())) if path.exists() else ():
             assert any(re.fullmatch(item, key) for item in patterns), (name, key)
 
 
