--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -18,7 +18,7 @@
 
 
 def main() -> int:
-    """Hand the arguments to the named measurement."""
+    """Run the named measurement and return its exit code."""
     if len(sys.argv) < 2 or sys.argv[1] not in NAMES:
         print(
             f"usage: script/bench {{{','.join(NAMES)}}} [--json] [--seed N] [--quick]"
--- a/bench/at_most_once.py
+++ b/bench/at_most_once.py
@@ -1,4 +1,4 @@
-"""Time and memory of the decisions that keep requests at most once."""
+"""Time and memory of the code that runs requests at most once."""
 
 import random
 import sys
@@ -19,7 +19,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the bench; print JSON or a table."""
+    """Run the benchmark and print JSON or a table."""
     options = parser(__doc__ or "").parse_args(arguments)
     ids = QUICK_IDS if options.quick else IDS
     return finish("at_most_once", {"ids": ids, **_measure(ids, options.seed)}, options)
@@ -39,17 +39,17 @@
     for request_id in ids:
         owner.begin(request_id, request_id.encode()[:32], 0.0)
         owner.finish(request_id, ANSWER, 0.0)
-    kept_bytes, _ = tracemalloc.get_traced_memory()
+    used_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return {
         "issue_us": round(issue_s / count * 1e6, 2),
         "begin_and_finish_us": round(_run_s(count, seed) / count * 1e6, 2),
-        "memory_bytes_per_id": round(kept_bytes / count),
+        "memory_bytes_per_id": round(used_bytes / count),
     }
 
 
 def _run_s(count: int, seed: int) -> float:
-    """Return the seconds of running all ids, without the memory's tracing."""
+    """Return the seconds to run all ids, without tracing memory."""
     options = AtMostOnceOptions(max_ids=count, max_issue=count)
     owner = RequestOwner(
         "instance-0001", 1, (SECRET,), random.Random(seed), ADDRESS, options
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Work out the capacity table at the target size from recorded measurements."""
+"""Compute the capacity table for the target size from recorded measurements."""
 
 import json
 import sys
@@ -15,15 +15,15 @@
 SECONDS_PER_DAY = 86_400
 ROOT_CALLS_PER_DAEMON_S = 20.0
 ACTIVE_WORKSPACES_PER_DAEMON = 5
-ASKS_PER_WORKSPACE_S = 1.5
+TOKEN_REQUESTS_PER_WORKSPACE_S = 1.5
 RATE_GROUPS = 16
 HOLDERS_PER_GROUP = 2
 RATE_POLL_S = 1.0
 RATE_RENEW_S = 15.0
 RATE_REFILL_S = 3.0
-ASK_BYTES = 128 + 96 + 63
-HOLDER_US_PER_ASK = 70.0
-DELEGATE_QUESTIONS_PER_S = 25.5
+TOKEN_REQUEST_BYTES = 128 + 96 + 63
+HOLDER_US_PER_TOKEN_REQUEST = 70.0
+DELEGATE_POLLS_PER_S = 25.5
 CHANGE_BYTES = 350
 TREE_SHARE = 8
 RELAYS_PER_DOMAIN = 2
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One figure at the target size beside its limit."""
+    """A figure at the target size and its limit."""
 
     role: str
     what: str
@@ -59,7 +59,7 @@
 
     @property
     def fits(self) -> bool:
-        """Tell whether the figure is within its limit."""
+        """Return whether the figure is within its limit."""
         return self.value <= self.limit
 
 
@@ -69,9 +69,11 @@
 
 def main(arguments: Sequence[str]) -> int:
     """Print the table, as Markdown or JSON."""
-    made = parser(__doc__ or "")
-    made.add_argument("--write", action="store_true", help="put it into the page")
-    options = made.parse_args(arguments)
+    argument_parser = parser(__doc__ or "")
+    argument_parser.add_argument(
+        "--write", action="store_true", help="put it into the page"
+    )
+    options = argument_parser.parse_args(arguments)
     try:
         lines = table()
     except MissingResultError as error:
@@ -98,7 +100,7 @@
 
 
 def table() -> list[Line]:
-    """Return every line, worked out from bench/results/."""
+    """Return all lines, computed from bench/results/."""
     return [
         *_core(),
         *_memory(),
@@ -109,7 +111,7 @@
 
 
 def markdown(lines: Sequence[Line]) -> str:
-    """Return the table as it stands in docs/CAPACITY.md."""
+    """Return the table as Markdown for docs/CAPACITY.md."""
     rows = [
         "| role | figure | at the target | limit | fits | mechanism |",
         "| --- | --- | --- | --- | --- | --- |",
@@ -124,7 +126,7 @@
 
 
 def write(text: str) -> None:
-    """Replace the table of docs/CAPACITY.md."""
+    """Replace the table in docs/CAPACITY.md."""
     page = PAGE.read_text()
     begin = page.index(BEGIN_MARK) + len(BEGIN_MARK)
     end = page.index(END_MARK)
@@ -132,11 +134,11 @@
 
 
 def _core() -> list[Line]:
-    """Return the share of a core for control, by role; roles add up."""
+    """Return the core share of control by role; combined roles are summed."""
     member = _member_core_pct()
     relay = _relay_core_pct()
-    delegate = _question_core_pct() * DELEGATE_QUESTIONS_PER_S
-    holder = _asks_per_holder_s() * HOLDER_US_PER_ASK / 1e6 * 100
+    delegate = _poll_core_pct() * DELEGATE_POLLS_PER_S
+    holder = _token_requests_per_holder_s() * HOLDER_US_PER_TOKEN_REQUEST / 1e6 * 100
     return [
         _core_line("plain member", member, "gossip, poll tree, ticks"),
         _core_line("inner daemon of a tree, relay", relay, "answers to 32 children"),
@@ -173,10 +175,10 @@
 def _bytes() -> list[Line]:
     one_domain = _result("control")["one_domain"]
     changes = CHANGES_PER_DAY / SECONDS_PER_DAY * CHANGE_BYTES * TREE_SHARE
-    asks = ROOT_ASKS_PER_S * ASK_BYTES
-    held = _asks_per_holder_s() * ASK_BYTES
-    member = one_domain["bytes_per_s"] + asks
-    inner = one_domain["bytes_per_s_relay"] + changes + asks
+    daemon_bytes = TOKEN_REQUESTS_PER_DAEMON_S * TOKEN_REQUEST_BYTES
+    holder_bytes = _token_requests_per_holder_s() * TOKEN_REQUEST_BYTES
+    member = one_domain["bytes_per_s"] + daemon_bytes
+    inner = one_domain["bytes_per_s_relay"] + changes + daemon_bytes
 
     def line(role: str, value: float, mechanism: str) -> Line:
         return Line(role, "control bytes/s", value, LIMIT_BYTES_PER_S, "B/s", mechanism)
@@ -184,7 +186,7 @@
     return [
         line("plain member", member, "gossip, polls, asks"),
         line("inner daemon of a tree, relay", inner, "deltas to 4 children each way"),
-        line("holder of a group", member + held, "asks of the whole domain"),
+        line("holder of a group", member + holder_bytes, "asks of the whole domain"),
     ]
 
 
@@ -262,11 +264,13 @@
     ]
 
 
-ROOT_ASKS_PER_S = ACTIVE_WORKSPACES_PER_DAEMON * ASKS_PER_WORKSPACE_S
+TOKEN_REQUESTS_PER_DAEMON_S = (
+    ACTIVE_WORKSPACES_PER_DAEMON * TOKEN_REQUESTS_PER_WORKSPACE_S
+)
 
 
-def _asks_per_holder_s() -> float:
-    per_domain = DAEMONS / DOMAINS * ROOT_ASKS_PER_S
+def _token_requests_per_holder_s() -> float:
+    per_domain = DAEMONS / DOMAINS * TOKEN_REQUESTS_PER_DAEMON_S
     return per_domain / (RATE_GROUPS * HOLDERS_PER_GROUP)
 
 
@@ -281,16 +285,18 @@
 
 
 def _added_core_pct() -> float:
-    """Return what a whole domain's members and the changes of a day add."""
+    """Return the core share for all members of a domain and the changes of a day."""
     control = _result("control")
-    whole = max(item["core_share_pct"] for item in control["membership_by_members"])
+    domain_core_pct = max(
+        item["core_share_pct"] for item in control["membership_by_members"]
+    )
     change_ms = control["set_costs"]["change_route"]["take_ms"]
     changes = CHANGES_PER_DAY / SECONDS_PER_DAY * change_ms / 1000 * 100
-    return float(whole) + float(changes)
+    return float(domain_core_pct) + float(changes)
 
 
-def _question_core_pct() -> float:
-    """Return the share of a core that one answered poll a second costs."""
+def _poll_core_pct() -> float:
+    """Return the core share for replying to one poll per second."""
     one_domain = _result("control")["one_domain"]
     added = one_domain["core_share_pct_relay"] - one_domain["core_share_pct"]
     return float(added) / 32
--- a/bench/common.py
+++ b/bench/common.py
@@ -1,4 +1,4 @@
-"""Arguments, figures and output that the measurements share."""
+"""Arguments, figures and output shared by the measurements."""
 
 import argparse
 import json
@@ -13,12 +13,14 @@
 
 def parser(description: str) -> argparse.ArgumentParser:
     """Return a parser with the arguments of every measurement."""
-    made = argparse.ArgumentParser(description=description)
-    made.add_argument("--json", action="store_true", help="print JSON")
-    made.add_argument("--seed", type=int, default=1)
-    made.add_argument("--quick", action="store_true", help="a short run")
-    made.add_argument("--keep", action="store_true", help="write bench/results/")
-    return made
+    argument_parser = argparse.ArgumentParser(description=description)
+    argument_parser.add_argument("--json", action="store_true", help="print JSON")
+    argument_parser.add_argument("--seed", type=int, default=1)
+    argument_parser.add_argument("--quick", action="store_true", help="a short run")
+    argument_parser.add_argument(
+        "--keep", action="store_true", help="write bench/results/"
+    )
+    return argument_parser
 
 
 def percentile(values: Sequence[float], share: float) -> float:
@@ -29,19 +31,19 @@
 
 
 def commit() -> str:
-    """Return the commit of the working tree, marked where it has changes."""
-    done = subprocess.run(
+    """Return the commit of the working tree, marked dirty if it has changes."""
+    described = subprocess.run(
         ["git", "describe", "--always", "--dirty"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=False,
     )
-    return done.stdout.strip() or "unknown"
+    return described.stdout.strip() or "unknown"
 
 
 def finish(name: str, result: dict[str, Any], options: argparse.Namespace) -> int:
-    """Print the result as JSON or as a table, and keep it where asked."""
+    """Print the result as JSON or a table; write it to bench/results/ with --keep."""
     result = {**result, "seed": options.seed, "commit": commit()}
     if options.keep:
         RESULTS.mkdir(parents=True, exist_ok=True)
@@ -55,7 +57,7 @@
 
 
 def print_table(result: dict[str, Any], indent: str = "") -> None:
-    """Print nested figures, a line each."""
+    """Print nested figures, one per line."""
     for key, value in result.items():
         if isinstance(value, dict):
             print(f"{indent}{key}")
--- a/bench/documents.py
+++ b/bench/documents.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """How many objects the set has."""
+    """Numbers of objects in the set."""
 
     pools: int = 1600
     routes: int = 5000
@@ -44,7 +44,7 @@
     """
     Processor times in milliseconds, sizes in bytes, shares in percent of a core.
 
-    `memory_mb` is what the document, the set and the route table hold.
+    `memory_mb` is the memory of the document, the set and the route table.
     """
 
     pools: int
@@ -65,7 +65,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the bench and print its figures."""
+    """Run the benchmark and print its figures."""
     options = parser(__doc__ or "").parse_args(arguments)
     sizes = Sizes(160, 500, 2000, 50) if options.quick else Sizes()
     return finish("documents", asdict(measure(sizes, options.seed)), options)
@@ -73,18 +73,18 @@
 
 def measure(sizes: Sizes, seed: int) -> Figures:
     """Return the figures of one large set."""
-    drawn = random.Random(seed)
-    data = json.dumps(large_set(sizes, drawn)).encode()
+    rng = random.Random(seed)
+    data = json.dumps(large_set(sizes, rng)).encode()
     parse_ms, document = _timed(lambda: _document(data), repeats=3)
     check_ms, _ = _timed(lambda: check(document))
     build_ms, config = _timed(lambda: build(document, 1))
     table_ms, table = _timed(lambda: RouteTable(config))
-    workspace = f"w{drawn.randrange(sizes.workspaces)}"
-    by_key = _delta(document, "keys/k7", f"workspace={workspace}", "expires_at=1")
-    by_route = _delta(document, "routes/r7", "unproven_after_s=6")
-    key_ms, _ = _timed(lambda: apply_delta(document, by_key))
-    route_ms, _ = _timed(lambda: apply_delta(document, by_route))
-    paths = [_path(sizes, drawn) for _ in range(MATCHES)]
+    workspace = f"w{rng.randrange(sizes.workspaces)}"
+    key_delta = _delta_of(document, "keys/k7", f"workspace={workspace}", "expires_at=1")
+    route_delta = _delta_of(document, "routes/r7", "unproven_after_s=6")
+    key_ms, _ = _timed(lambda: apply_delta(document, key_delta))
+    route_ms, _ = _timed(lambda: apply_delta(document, route_delta))
+    paths = [_path(sizes, rng) for _ in range(MATCHES)]
     match_ms, _ = _timed(lambda: [table.match("h:80", "GET", path) for path in paths])
     per_s = CHANGES_PER_DAY / SECONDS_PER_DAY
     return Figures(
@@ -96,7 +96,7 @@
         check_ms=check_ms,
         build_ms=build_ms,
         route_table_ms=table_ms,
-        key_delta_bytes=by_key.size_bytes,
+        key_delta_bytes=key_delta.size_bytes,
         apply_key_change_ms=key_ms,
         apply_route_change_ms=route_ms,
         match_us=match_ms * 1000 / MATCHES,
@@ -106,7 +106,7 @@
     )
 
 
-def large_set(sizes: Sizes, drawn: random.Random) -> dict[str, Any]:
+def large_set(sizes: Sizes, rng: random.Random) -> dict[str, Any]:
     """Return a set whose routes call each other in chains."""
     return {
         "workspaces": {
@@ -115,8 +115,8 @@
         },
         "keys": {
             f"k{number}": {
-                "digest": hashlib.sha256(drawn.randbytes(16)).hexdigest(),
-                "workspace": f"w{drawn.randrange(sizes.workspaces)}",
+                "digest": hashlib.sha256(rng.randbytes(16)).hexdigest(),
+                "workspace": f"w{rng.randrange(sizes.workspaces)}",
             }
             for number in range(sizes.keys)
         },
@@ -147,8 +147,8 @@
     }
 
 
-def _path(sizes: Sizes, drawn: random.Random) -> str:
-    number = drawn.randrange(sizes.routes)
+def _path(sizes: Sizes, rng: random.Random) -> str:
+    number = rng.randrange(sizes.routes)
     return f"/s{number % sizes.pools}/r{number}/item?a=1"
 
 
@@ -159,7 +159,7 @@
     return document
 
 
-def _delta(document: Document, place: str, *settings: str) -> Delta:
+def _delta_of(document: Document, place: str, *settings: str) -> Delta:
     changed = apply_overrides(document, [Override(place, settings)])
     if not isinstance(changed, Document):
         raise RuntimeError(f"the change has faults: {changed[0]}")
@@ -178,10 +178,10 @@
 
 
 def _timed(call: Callable[[], T], repeats: int = 7) -> tuple[float, T]:
-    """Return the least processor time of some runs, in milliseconds, and the result."""
+    """Return the shortest processor time of several runs, in ms, and the result."""
     best_s = float("inf")
     for _ in range(repeats):
-        began = time.process_time()
+        started_s = time.process_time()
         result = call()
-        best_s = min(best_s, time.process_time() - began)
+        best_s = min(best_s, time.process_time() - started_s)
     return best_s * 1000, result
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes on loopback, for measurements and the demo."""
+"""Fleet of real processes on loopback, for measurements and the demo."""
 
 import contextlib
 import http.client
@@ -26,12 +26,12 @@
 
 
 class FleetError(RuntimeError):
-    """A process did not come up or a publication failed."""
+    """A process did not start or a publication failed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerPlan:
-    """One backend server with its daemon."""
+    """Plan of a backend server and its daemon."""
 
     instance: str
     failure_domain: str
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class Server:
-    """Where a backend server and its daemon listen, and their processes."""
+    """Ports and processes of a backend server and its daemon."""
 
     plan: ServerPlan
     backend_port: int
@@ -62,7 +62,7 @@
     """
     Platform, backend servers and daemons as processes; a context manager.
 
-    All logs go to files in a temporary folder that goes with the fleet.
+    Logs are written to a temporary folder, which is deleted on exit.
     """
 
     plans: Sequence[ServerPlan]
@@ -155,17 +155,17 @@
 
     def wait_ready(self, *, version: int = 1) -> None:
         """Wait until every daemon is ready with this version of the set or newer."""
-        limit = time.monotonic() + START_TIMEOUT_S
+        deadline = time.monotonic() + START_TIMEOUT_S
         for server in self.servers_by_instance.values():
             while server.daemon is not None and not self._is_ready(server, version):
-                if time.monotonic() > limit:
+                if time.monotonic() > deadline:
                     raise FleetError(
                         f"{server.plan.instance} is not ready: {self.log_of(server)}"
                     )
                 time.sleep(POLL_S)
 
     def cli(self, *arguments: str) -> "subprocess.CompletedProcess[str]":
-        """Run one command of the command line to its end."""
+        """Run a damaskbay command and return its result."""
         return subprocess.run(
             [sys.executable, "-m", "damaskbay", *arguments],
             cwd=ROOT,
@@ -176,20 +176,20 @@
         )
 
     def publish(self, document: Mapping[str, Any]) -> None:
-        """Publish a set from a file, as an operator would."""
+        """Publish a set from a file with the command line."""
         path = self._folder / "set.json"
         path.write_text(json.dumps(document))
-        done = self.cli(
+        result = self.cli(
             *("publish", str(path)),
             *("--platform", f"{HOST}:{self.platform_port}"),
             *("--expect-version", str(self.version)),
         )
-        if done.returncode != 0:
-            raise FleetError(f"publish failed: {done.stdout}{done.stderr}")
+        if result.returncode != 0:
+            raise FleetError(f"publish failed: {result.stdout}{result.stderr}")
         self.version += 1
 
     def get_json(self, server: Server, path: str) -> Any:
-        """Ask a daemon's operator listener."""
+        """Return the JSON response of a daemon's operator listener."""
         connection = http.client.HTTPConnection(HOST, server.operator_port, timeout=5)
         try:
             connection.request("GET", path)
@@ -251,7 +251,7 @@
 
 @contextlib.contextmanager
 def fleet(plans: Sequence[ServerPlan], document: Mapping[str, Any]) -> Iterator[Fleet]:
-    """Give a fleet that is ready with a published set."""
+    """Yield a fleet that is ready with a published set."""
     with Fleet(plans) as running:
         running.publish(document)
         running.wait_ready()
@@ -259,7 +259,7 @@
 
 
 def free_port() -> int:
-    """Return a port that is free for TCP and UDP at this moment."""
+    """Return a port that is currently free for TCP and UDP."""
     with socket.socket() as tcp, socket.socket(type=socket.SOCK_DGRAM) as udp:
         tcp.bind((HOST, 0))
         port: int = tcp.getsockname()[1]
@@ -275,8 +275,8 @@
 
 
 def _wait_for_port(port: int) -> None:
-    limit = time.monotonic() + START_TIMEOUT_S
-    while time.monotonic() < limit:
+    deadline = time.monotonic() + START_TIMEOUT_S
+    while time.monotonic() < deadline:
         try:
             with socket.create_connection((HOST, port), 1.0):
                 return
--- a/bench/hop.py
+++ b/bench/hop.py
@@ -1,4 +1,4 @@
-"""Round trip of a small request over one peer stream, beside a bare socket."""
+"""Round-trip time of a small request over a peer stream and a plain socket."""
 
 import argparse
 import random
@@ -34,8 +34,8 @@
 
 @message("bench.hop.ask")
 @dataclass(frozen=True, slots=True)
-class HopAsk:
-    """A small request."""
+class HopRequest:
+    """A request of the benchmark."""
 
     number: int
     body: bytes
@@ -43,8 +43,8 @@
 
 @message("bench.hop.tell")
 @dataclass(frozen=True, slots=True)
-class HopTell:
-    """Its answer."""
+class HopReply:
+    """The reply to a request."""
 
     number: int
     body: bytes
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """Times of one way at one load: milliseconds, and processor ms per call."""
+    """Figures of one transport at one load: latency and processor time per call."""
 
     p50_ms: float
     p99_ms: float
@@ -65,7 +65,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the bench; print a table or JSON."""
+    """Run the benchmark and print a table or JSON."""
     arguments_parser = parser(__doc__ or "")
     arguments_parser.add_argument("--serve", choices=SERVED, help=argparse.SUPPRESS)
     options = arguments_parser.parse_args(arguments)
@@ -77,59 +77,61 @@
 
 
 def _measure(rng: random.Random, share: float) -> dict[str, Any]:
-    """Interleave the ways, so that all see the same machine."""
+    """Measure all transports in turn, so that machine load affects all equally."""
     paced, steady = int(PACED_CALLS * share), int(STEADY_CALLS * share)
     with _bare() as bare, _stream("inline") as inline, _stream("stream") as stream:
-        ways = {"bare": bare, "inline": inline, "stream": stream}
-        for way in ways.values():
+        transports = {"bare": bare, "inline": inline, "stream": stream}
+        for transport in transports.values():
             for number in range(10 * WARM_UP_CALLS):
-                way.call(number)
+                transport.call(number)
         return {
-            "paced": _as_json(_paced(ways, paced, rng)),
-            "steady": _as_json(_steady(ways, steady)),
+            "paced": _as_json(_paced(transports, paced, rng)),
+            "steady": _as_json(_steady(transports, steady)),
         }
 
 
 @dataclass(slots=True)
-class Way:
-    """One way to make a call, and the processor seconds of its server."""
+class Transport:
+    """A transport for calls, and the processor time of its server process."""
 
     call: Call
     server_cpu_s: Callable[[], float]
 
 
-def _paced(ways: dict[str, Way], calls: int, rng: random.Random) -> dict[str, Figures]:
-    """Call at the target's rate for each daemon, the ways in turn."""
+def _paced(
+    transports: dict[str, Transport], calls: int, rng: random.Random
+) -> dict[str, Figures]:
+    """Call at the target rate of one daemon, with the transports in turn."""
     rounds = 10
-    samples: dict[str, list[Figures]] = {name: [] for name in ways}
-    times: dict[str, list[float]] = {name: [] for name in ways}
+    samples: dict[str, list[Figures]] = {name: [] for name in transports}
+    times: dict[str, list[float]] = {name: [] for name in transports}
     for _ in range(rounds):
-        for name in rng.sample(sorted(ways), len(ways)):
+        for name in rng.sample(sorted(transports), len(transports)):
             pauses = [rng.expovariate(RATE_PER_S) for _ in range(calls // rounds)]
             for number in range(WARM_UP_CALLS):
-                ways[name].call(number)
-            figures = _run(ways[name], pauses, times[name])
+                transports[name].call(number)
+            figures = _run(transports[name], pauses, times[name])
             samples[name].append(figures)
-    return {name: _merged(samples[name], times[name]) for name in ways}
+    return {name: _merge_samples(samples[name], times[name]) for name in transports}
 
 
-def _steady(ways: dict[str, Way], calls: int) -> dict[str, Figures]:
-    """Call one after the other without a pause."""
+def _steady(transports: dict[str, Transport], calls: int) -> dict[str, Figures]:
+    """Send calls back to back."""
     figures = {}
-    for name, way in ways.items():
+    for name, transport in transports.items():
         times: list[float] = []
-        figures[name] = _merged([_run(way, [0.0] * calls, times)], times)
+        figures[name] = _merge_samples([_run(transport, [0.0] * calls, times)], times)
     return figures
 
 
-def _run(way: Way, pauses: list[float], times: list[float]) -> Figures:
+def _run(transport: Transport, pauses: list[float], times: list[float]) -> Figures:
     started_at = time.perf_counter()
-    client_cpu, server_cpu = _cpu_s(), way.server_cpu_s()
+    client_cpu, server_cpu = _cpu_s(), transport.server_cpu_s()
     for number, pause_s in enumerate(pauses):
         if pause_s:
             time.sleep(pause_s)
         before = time.perf_counter()
-        way.call(number)
+        transport.call(number)
         times.append(time.perf_counter() - before)
     took_s = time.perf_counter() - started_at
     count = len(pauses)
@@ -137,16 +139,16 @@
         0.0,
         0.0,
         (_cpu_s() - client_cpu) * 1_000 / count,
-        (way.server_cpu_s() - server_cpu) * 1_000 / count,
+        (transport.server_cpu_s() - server_cpu) * 1_000 / count,
         count / took_s,
     )
 
 
-def _merged(samples: list[Figures], times: list[float]) -> Figures:
-    cuts = statistics.quantiles(times, n=100)
+def _merge_samples(samples: list[Figures], times: list[float]) -> Figures:
+    percentiles = statistics.quantiles(times, n=100)
     return Figures(
-        round(cuts[49] * 1_000, 4),
-        round(cuts[98] * 1_000, 4),
+        round(percentiles[49] * 1_000, 4),
+        round(percentiles[98] * 1_000, 4),
         round(statistics.fmean(item.cpu_ms_client for item in samples), 4),
         round(statistics.fmean(item.cpu_ms_server for item in samples), 4),
         round(statistics.fmean(item.calls_per_s for item in samples), 1),
@@ -158,9 +160,9 @@
 
 
 @contextmanager
-def _server(way: str) -> Iterator[tuple[int, Callable[[], float]]]:
-    """Run the serving process; yield its port and its processor seconds."""
-    command = [sys.executable, "-m", "bench.hop", "--serve", way]
+def _server(transport: str) -> Iterator[tuple[int, Callable[[], float]]]:
+    """Run the server process; yield its port and a function for its processor time."""
+    command = [sys.executable, "-m", "bench.hop", "--serve", transport]
     process = subprocess.Popen(
         command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
     )
@@ -182,8 +184,8 @@
 
 
 @contextmanager
-def _bare() -> Iterator[Way]:
-    """Call over one blocking socket between two threads: the floor."""
+def _bare() -> Iterator[Transport]:
+    """Call over a blocking socket; this is the lower bound."""
     body = bytes(BODY_BYTES)
     with _server("bare") as (port, cpu_s):
         with socket.create_connection((HOST, port)) as sock:
@@ -193,23 +195,23 @@
                 sock.sendall(body)
                 _read(sock)
 
-            yield Way(call, cpu_s)
+            yield Transport(call, cpu_s)
 
 
 @contextmanager
-def _stream(served: str) -> Iterator[Way]:
-    """Call over a peer stream, answered by a worker or by the link's own thread."""
+def _stream(served: str) -> Iterator[Transport]:
+    """Call over a peer stream; a worker or the link's own thread sends the reply."""
     body = bytes(BODY_BYTES)
     with _server(served) as (port, cpu_s), _link("client") as link:
         peer = PeerAddress(HOST, port)
 
         def call(number: int) -> None:
-            ask = HopAsk(number, body)
+            ask = HopRequest(number, body)
             answer = link.request(peer, ask, timeout_s=TIMEOUT_S).result()
-            if not isinstance(answer, HopTell):
+            if not isinstance(answer, HopReply):
                 raise RuntimeError(f"no answer: {answer}")
 
-        yield Way(call, cpu_s)
+        yield Transport(call, cpu_s)
 
 
 def _link(name: str) -> PeerStreams:
@@ -221,8 +223,8 @@
     )
 
 
-def _serve(way: str) -> int:
-    if way == "bare":
+def _serve(transport: str) -> int:
+    if transport == "bare":
         with socket.create_server((HOST, 0)) as listener, ThreadPoolExecutor(1) as pool:
             print(listener.getsockname()[1], flush=True)
             pool.submit(_serve_bare, listener)
@@ -231,16 +233,16 @@
     link = _link("server")
     with ThreadPoolExecutor(WORKERS) as pool:
 
-        def answer(item: HopAsk, responder: Responder) -> None:
-            responder.answer(HopTell(item.number, item.body))
+        def answer(item: HopRequest, responder: Responder) -> None:
+            responder.answer(HopReply(item.number, item.body))
 
-        def handle(_: PeerIdentity, item: HopAsk, responder: Responder) -> None:
-            if way == "inline":
+        def handle(_: PeerIdentity, item: HopRequest, responder: Responder) -> None:
+            if transport == "inline":
                 answer(item, responder)
             else:
                 pool.submit(answer, item, responder)
 
-        link.register(HopAsk, handle)
+        link.register(HopRequest, handle)
         with link:
             print(link.address.port, flush=True)
             _report()
@@ -260,7 +262,7 @@
 
 
 def _report() -> None:
-    """Answer each line on stdin with the processor seconds so far."""
+    """Print the processor seconds used so far for each line on standard input."""
     for _ in sys.stdin:
         print(_cpu_s(), flush=True)
 
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -1,4 +1,4 @@
-"""Time that one and two daemons add to a call, and what a call costs."""
+"""Latency that one and two daemons add to a call, and processor time per call."""
 
 import http.client
 import random
@@ -28,8 +28,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """One way to the backend server: a kept-alive connection and a path."""
+class Endpoint:
+    """An endpoint on the way to a backend server: port, path and headers."""
 
     name: str
     port: int
@@ -38,22 +38,24 @@
 
 
 class Caller:
-    """Calls one way again and again over one connection."""
+    """Client that calls one endpoint over a persistent connection."""
 
-    def __init__(self, way: Way) -> None:
-        self._way = way
-        self._connection = http.client.HTTPConnection(HOST, way.port, timeout=10)
+    def __init__(self, endpoint: Endpoint) -> None:
+        self._endpoint = endpoint
+        self._connection = http.client.HTTPConnection(HOST, endpoint.port, timeout=10)
         self.latencies_s: list[float] = []
 
     def call(self) -> None:
-        """Make one call and keep its latency; a refusal ends the measurement."""
-        began = time.perf_counter()
-        self._connection.request("GET", self._way.path, headers=self._way.headers)
+        """Send one call and record its latency; raise RuntimeError on a refusal."""
+        started_at = time.perf_counter()
+        self._connection.request(
+            "GET", self._endpoint.path, headers=self._endpoint.headers
+        )
         response = self._connection.getresponse()
         body = response.read()
-        self.latencies_s.append(time.perf_counter() - began)
+        self.latencies_s.append(time.perf_counter() - started_at)
         if response.status != 200:
-            raise RuntimeError(f"{self._way.name}: {response.status} {body!r}")
+            raise RuntimeError(f"{self._endpoint.name}: {response.status} {body!r}")
 
     def close(self) -> None:
         """Close the connection."""
@@ -61,9 +63,9 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Measure and print."""
-    made = parser(__doc__ or "")
-    options = made.parse_args(arguments)
+    """Run the measurement and print its figures."""
+    argument_parser = parser(__doc__ or "")
+    options = argument_parser.parse_args(arguments)
     secrets = secrets_for([WORKSPACE])
     plans = [
         ServerPlan("near-1", "domain-a", NEAR_POOL, slots=64),
@@ -71,29 +73,33 @@
     ]
     document = sample_set([NEAR_POOL, FAR_POOL], secrets_by_workspace=secrets)
     with fleet(plans, document) as running:
-        ways = _ways(running, secrets[WORKSPACE])
+        endpoints = _endpoints(running, secrets[WORKSPACE])
         idle_mb = memory_mb(_daemon_pid(running, "near-1"))
         calls = QUICK_CALLS if options.quick else CALLS
-        latencies = _measure(ways, calls, random.Random(options.seed))
-        costs = _costs(running, ways[2], calls)
+        latencies = _measure(endpoints, calls, random.Random(options.seed))
+        costs = _costs(running, endpoints[2], calls)
         load_s = QUICK_LOAD_S if options.quick else LOAD_S
-        rates = {way.name: _calls_per_s(way, load_s) for way in ways}
+        rates = {
+            endpoint.name: _calls_per_s(endpoint, load_s) for endpoint in endpoints
+        }
     return finish("latency", _result(latencies, costs, rates, idle_mb), options)
 
 
-def _ways(running: Fleet, secret: str) -> list[Way]:
+def _endpoints(running: Fleet, secret: str) -> list[Endpoint]:
     near = running.servers_by_instance["near-1"]
     headers = {HEADER_KEY: secret}
     return [
-        Way("direct", near.backend_port, f"/{NEAR_POOL}/x", {}),
-        Way("one_daemon", near.caller_port, f"/{NEAR_POOL}/x", headers),
-        Way("two_daemons", near.caller_port, f"/{FAR_POOL}/x", headers),
+        Endpoint("direct", near.backend_port, f"/{NEAR_POOL}/x", {}),
+        Endpoint("one_daemon", near.caller_port, f"/{NEAR_POOL}/x", headers),
+        Endpoint("two_daemons", near.caller_port, f"/{FAR_POOL}/x", headers),
     ]
 
 
-def _measure(ways: list[Way], calls: int, rng: random.Random) -> dict[str, list[float]]:
-    """Call all ways in turn, in a shuffled order, so that drift hits all alike."""
-    callers = {way.name: Caller(way) for way in ways}
+def _measure(
+    endpoints: list[Endpoint], calls: int, rng: random.Random
+) -> dict[str, list[float]]:
+    """Call the endpoints in random order, so that drift affects all equally."""
+    callers = {endpoint.name: Caller(endpoint) for endpoint in endpoints}
     for caller in callers.values():
         for _ in range(WARM_UP_CALLS):
             caller.call()
@@ -108,15 +114,15 @@
     return {name: caller.latencies_s for name, caller in callers.items()}
 
 
-def _costs(running: Fleet, way: Way, calls: int) -> dict[str, float]:
-    """Return processor milliseconds per call of both daemons and the backend."""
+def _costs(running: Fleet, endpoint: Endpoint, calls: int) -> dict[str, float]:
+    """Return the processor time per call in ms, of both daemons and the server."""
     pids = {
         "ingress_daemon": _daemon_pid(running, "near-1"),
         "target_daemon": _daemon_pid(running, "far-1"),
         "backend_server": _backend_pid(running, "far-1"),
     }
     before = {name: cpu_s(pid) for name, pid in pids.items()}
-    caller = Caller(way)
+    caller = Caller(endpoint)
     for _ in range(calls):
         caller.call()
     caller.close()
@@ -126,9 +132,9 @@
     }
 
 
-def _calls_per_s(way: Way, load_s: float) -> float:
-    """Return what several callers at once get through, in calls/s."""
-    callers = [Caller(way) for _ in range(LOAD_THREADS)]
+def _calls_per_s(endpoint: Endpoint, load_s: float) -> float:
+    """Return the throughput of several concurrent callers, in calls/s."""
+    callers = [Caller(endpoint) for _ in range(LOAD_THREADS)]
     end = time.perf_counter() + load_s
 
     def run(caller: Caller) -> None:
@@ -138,10 +144,10 @@
     with ThreadPoolExecutor(LOAD_THREADS) as executor:
         for future in [executor.submit(run, caller) for caller in callers]:
             future.result()
-    done = sum(len(caller.latencies_s) for caller in callers)
+    call_count = sum(len(caller.latencies_s) for caller in callers)
     for caller in callers:
         caller.close()
-    return round(done / load_s, 1)
+    return round(call_count / load_s, 1)
 
 
 def _result(
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,4 +1,4 @@
-"""Measure the policy under load and faults against a naive version."""
+"""Compare the call policy with a naive one, under load and faults."""
 
 import argparse
 import json
@@ -12,7 +12,7 @@
 from bench.overload_fleet import NAIVE_QUEUE_PER_SLOT, Policy
 from bench.overload_load import CASES, TOPOLOGIES, Case, Schedule, Topology
 from bench.overload_run import RunResult, RunSpec, run
-from bench.plot import MISSING, plot_available, plot_overload
+from bench.plot import MATPLOTLIB_MISSING, plot_available, plot_overload
 from damaskbay.core.admission import AimdLimit, FixedLimit, GradientLimit
 from damaskbay.core.admission.controller import LimitFactory
 
@@ -39,17 +39,17 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run the bench; return the exit status."""
+    """Run the benchmark and return the exit code."""
     options = _parse(arguments)
     if options.plot and not plot_available():
-        print(MISSING, file=sys.stderr)
+        print(MATPLOTLIB_MISSING, file=sys.stderr)
         return EXIT_UNAVAILABLE
-    began = time.monotonic()
+    started_at = time.monotonic()
     specs = _specs(options)
     with ProcessPoolExecutor(options.workers) as executor:
         results = list(executor.map(run, specs))
     report = _report(specs, results, options.seed)
-    report["took_s"] = round(time.monotonic() - began, 1)
+    report["took_s"] = round(time.monotonic() - started_at, 1)
     if options.plot:
         plot_overload(specs, results, options.plot)
     if options.json:
@@ -94,7 +94,7 @@
         for topology in TOPOLOGIES
         for case in CASES
         for system in SYSTEMS
-        if not options.only or options.only in _name(topology, case)
+        if not options.only or options.only in _case_name(topology, case)
     ]
 
 
@@ -104,7 +104,7 @@
     return Schedule(CAUSE_AT_S, case.cause_s, AFTER_S)
 
 
-def _name(topology: Topology, case: Case) -> str:
+def _case_name(topology: Topology, case: Case) -> str:
     return f"{topology.name}/{case.name}"
 
 
@@ -113,7 +113,7 @@
 ) -> dict[str, Any]:
     cases: dict[str, dict[str, Any]] = {}
     for spec, result in zip(specs, results, strict=True):
-        name = _name(spec.topology, spec.case)
+        name = _case_name(spec.topology, spec.case)
         cases.setdefault(name, {})[spec.system] = asdict(result.measures)
     return {"cases": cases, "seed": seed}
 
--- a/bench/overload_fleet.py
+++ b/bench/overload_fleet.py
@@ -1,4 +1,4 @@
-"""What the daemons of one run of the overload bench share."""
+"""State shared by the daemons of one run of the overload benchmark."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -16,15 +16,15 @@
 if TYPE_CHECKING:
     from bench.overload_ours import Daemon
 
-HOP_S = 0.0007
+HOP_DELAY_S = 0.0007
 RETRIES = 2
-WARM_AT = -1000.0
+READY_AT_S = -1000.0
 NAIVE_QUEUE_PER_SLOT = 10
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """What may be varied between runs."""
+    """Settings that may differ between runs."""
 
     limit: LimitFactory = GradientLimit
     naive_queue_per_slot: int = NAIVE_QUEUE_PER_SLOT
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """Clock, chance, servers and routes of one run."""
+    """Events, random numbers, servers and routes of one run."""
 
     events: Events
     topology: Topology
@@ -42,25 +42,25 @@
     daemons_by_instance: "dict[str, Daemon]" = field(default_factory=dict)
 
     def next_pool(self, pool: str) -> str | None:
-        """Return the pool that servers of a pool call, if any."""
+        """Return the pool that the servers of a pool call; None for the last pool."""
         names = [item.name for item in self.topology.pools]
-        place = names.index(pool) + 1
-        return names[place] if place < len(names) else None
+        index = names.index(pool) + 1
+        return names[index] if index < len(names) else None
 
     def view(self, server: FakeServer) -> ServerView:
-        """Return how daemons know a server; each has a failure domain of its own."""
-        known = self.views_by_pool.get(server.pool, ())
+        """Record and return the view of a server; each has its own failure domain."""
+        views = self.views_by_pool.get(server.pool, ())
         view = ServerView(
             instance=server.instance,
             incarnation=1,
-            failure_domain=f"d{len(known)}",
+            failure_domain=f"d{len(views)}",
             address=PeerAddress("127.0.0.1", 1),
             pool=server.pool,
             state=ServerState.READY,
             slots=server.slots,
-            ready_at=WARM_AT,
+            ready_at=READY_AT_S,
         )
-        self.views_by_pool[server.pool] = (*known, view)
+        self.views_by_pool[server.pool] = (*views, view)
         return view
 
     def route(self, pool: str, *, idempotent: bool) -> Route:
@@ -78,7 +78,7 @@
         )
 
     def root_context(self, request: Request) -> CallContext:
-        """Return the context of a request at its ingress."""
+        """Return the call context of a request at its ingress daemon."""
         pool = self.topology.pools[0].name
         return CallContext(
             call_id=str(request.number),
--- a/bench/overload_load.py
+++ b/bench/overload_load.py
@@ -1,4 +1,4 @@
-"""Topologies, cases and requests of the overload bench."""
+"""Topologies, cases and requests of the overload benchmark."""
 
 from dataclasses import dataclass
 from random import Random
@@ -7,13 +7,13 @@
 RANK_SHARES = (0.10, 0.40, 0.50)
 BASE_LOAD = 0.8
 GREEDY_WORKSPACE = 2
-GREEDY_TIMES = 5.0
-LOST_SHARE = 0.001
+GREEDY_FACTOR = 5.0
+LOST_RESPONSE_SHARE = 0.001
 
 
 @dataclass(frozen=True, slots=True)
 class PoolSpec:
-    """One pool: servers, slots of each, and its own mean work in seconds."""
+    """A pool: its servers, slots per server and mean work per request in seconds."""
 
     name: str
     servers: int
@@ -23,19 +23,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """A chain of pools, the first called by callers; deadline in seconds."""
+    """A chain of pools that call each other; callers call the first one."""
 
     name: str
     pools: tuple[PoolSpec, ...]
     deadline_s: float
 
     def capacity_per_s(self, slowness: float = 1.0) -> float:
-        """Return whole requests/s, with the last pool's work slowed."""
+        """Return the complete requests per second, with the last pool slowed."""
         held_s = 0.0
         capacity = float("inf")
         for pool in reversed(self.pools):
-            last = pool is self.pools[-1]
-            held_s += pool.mean_s * (slowness if last else 1.0)
+            is_last = pool is self.pools[-1]
+            held_s += pool.mean_s * (slowness if is_last else 1.0)
             capacity = min(capacity, pool.servers * pool.slots / held_s)
         return capacity
 
@@ -52,10 +52,10 @@
 @dataclass(frozen=True, slots=True)
 class Case:
     """
-    What goes wrong while the cause lasts.
+    An overload and its cause.
 
     `surge` multiplies all demand, `slowness` the last pool's work, `greedy` one
-    workspace's demand. With `hard_clients` callers come back at once.
+    workspace's demand. With `hard_clients` callers retry at once.
     """
 
     name: str
@@ -69,7 +69,7 @@
 CASES = (
     Case("surge", 20.0, surge=4.0),
     Case("slow_deep_service", 10.0, slowness=10.0),
-    Case("greedy_workspace", 10.0, greedy=GREEDY_TIMES),
+    Case("greedy_workspace", 10.0, greedy=GREEDY_FACTOR),
     Case("hard_clients", 10.0, surge=2.0, hard_clients=True),
     Case("slow_and_hard_clients", 10.0, slowness=10.0, hard_clients=True),
 )
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """When things happen, in seconds of virtual time."""
+    """Start and length of the cause and the load after it, in virtual seconds."""
 
     cause_at: float
     cause_s: float
@@ -85,18 +85,18 @@
 
     @property
     def ends_at(self) -> float:
-        """Return when the cause ends."""
+        """Return the time at which the cause ends."""
         return self.cause_at + self.cause_s
 
     @property
     def load_until(self) -> float:
-        """Return when the last request comes."""
+        """Return the time at which requests stop arriving."""
         return self.ends_at + self.after_s
 
 
 @dataclass(slots=True)
 class Request:
-    """One request of a caller and what became of it."""
+    """A request of a caller and its outcome."""
 
     number: int
     workspace: str
@@ -111,30 +111,30 @@
     ended_at: float | None = None
     lost: bool = False
     wrongful: bool = False
-    tries: int = 0
+    caller_attempts: int = 0
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether it may run more than once: filings and records may not."""
+        """Return whether it may run more than once; requests of rank 0 may not."""
         return self.rank > 0
 
     @property
-    def good(self) -> bool:
-        """Tell whether the whole answer came in time."""
+    def completed_in_time(self) -> bool:
+        """Return whether the complete response arrived before the deadline."""
         return self.answered_at is not None and self.answered_at <= self.deadline
 
 
 def make_requests(
     topology: Topology, case: Case, schedule: Schedule, seed: int
 ) -> list[Request]:
-    """Return the requests of one run, the same for the same seed."""
+    """Return the requests of one run; the same seed gives the same requests."""
     rng = Random(seed)
     base_per_s = BASE_LOAD * topology.capacity_per_s()
     requests: list[Request] = []
     for index, share in enumerate(WORKSPACE_SHARES):
         now = 0.0
         while True:
-            rate_per_s = base_per_s * share * _times(case, schedule, index, now)
+            rate_per_s = base_per_s * share * _demand_factor(case, schedule, index, now)
             now += rng.expovariate(rate_per_s)
             if now >= schedule.load_until:
                 break
@@ -148,8 +148,8 @@
     return requests
 
 
-def _times(case: Case, schedule: Schedule, index: int, now: float) -> float:
-    """Return by how much a workspace's demand is multiplied."""
+def _demand_factor(case: Case, schedule: Schedule, index: int, now: float) -> float:
+    """Return the factor on a workspace's demand at a time."""
     if not schedule.cause_at <= now < schedule.ends_at:
         return 1.0
     greedy = case.greedy if index == GREEDY_WORKSPACE else 1.0
--- a/bench/overload_measure.py
+++ b/bench/overload_measure.py
@@ -1,4 +1,4 @@
-"""What the overload bench measures of one run."""
+"""Figures of one run of the overload benchmark."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -10,12 +10,12 @@
 RECOVERED_SHARE = 0.95
 RECOVERED_BINS = 4
 MIN_DUE_REQUESTS = 10.0
-SETTLED_AFTER_WORKS = 2.0
+SETTLE_WORK_TIMES = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Measures:
-    """The figures of one run; times in seconds, shares from 0 to 1."""
+    """Figures of one run; times in seconds, shares from 0 to 1."""
 
     goodput_share: float
     recovery_s: float | None
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """One bin of a run over time, for plots: rates in 1/s, latency in s."""
+    """One time bin of a run, for plots; rates in 1/s, latencies in seconds."""
 
     at_s: float
     offered_per_s: float
@@ -44,7 +44,7 @@
 def measure(
     topology: Topology, case: Case, schedule: Schedule, requests: list[Request]
 ) -> Measures:
-    """Return the figures of one run, whose requests have all ended."""
+    """Return the figures of one run; all its requests must have ended."""
     during = [
         request
         for request in requests
@@ -53,17 +53,21 @@
     capacity_per_s = topology.capacity_per_s(case.slowness)
     capacity = capacity_per_s * schedule.cause_s
     due = _due_by_workspace(during, capacity)
-    good = Counter(request.workspace for request in during if request.good)
+    good = Counter(request.workspace for request in during if request.completed_in_time)
     shares = {
-        name: good[name] / wanted
-        for name, wanted in due.items()
-        if wanted >= MIN_DUE_REQUESTS
+        name: good[name] / due_count
+        for name, due_count in due.items()
+        if due_count >= MIN_DUE_REQUESTS
     }
     worst = min(shares, key=lambda name: shares[name])
-    refused = Counter(request.rank for request in requests if not request.good)
+    refused = Counter(
+        request.rank for request in requests if not request.completed_in_time
+    )
     by_rank = Counter(request.rank for request in requests)
     held_s = sum(request.held_s for request in requests)
-    wasted_s = sum(request.held_s for request in requests if not request.good)
+    wasted_s = sum(
+        request.held_s for request in requests if not request.completed_in_time
+    )
     return Measures(
         goodput_share=_goodput_share(topology, schedule, requests, capacity_per_s),
         recovery_s=_recovery_s(schedule, requests),
@@ -91,7 +95,7 @@
         latencies = sorted(
             request.answered_at - request.arrived_at
             for request in arrived
-            if request.good and request.answered_at is not None
+            if request.completed_in_time and request.answered_at is not None
         )
         points.append(
             Point(
@@ -112,20 +116,20 @@
     capacity_per_s: float,
 ) -> float:
     """
-    Return whole answers given while the cause lasts, of what could be given.
+    Return complete responses during the cause, as a share of what was possible.
 
-    Work from before the cause is left time to end.
+    The first two mean work times are left out, so that earlier work can end.
     """
     work_s = sum(pool.mean_s for pool in topology.pools)
-    begin_s = schedule.cause_at + SETTLED_AFTER_WORKS * work_s
+    begin_s = schedule.cause_at + SETTLE_WORK_TIMES * work_s
     end_s = schedule.ends_at
-    given = sum(
+    granted = sum(
         begin_s <= request.answered_at < end_s
         for request in requests
-        if request.good and request.answered_at is not None
+        if request.completed_in_time and request.answered_at is not None
     )
-    asked = sum(begin_s <= request.arrived_at < end_s for request in requests)
-    return round(given / min(capacity_per_s * (end_s - begin_s), asked), 4)
+    requested = sum(begin_s <= request.arrived_at < end_s for request in requests)
+    return round(granted / min(capacity_per_s * (end_s - begin_s), requested), 4)
 
 
 def _ran_twice(request: Request) -> bool:
@@ -134,45 +138,45 @@
 
 def _due_by_workspace(requests: list[Request], capacity: float) -> dict[str, float]:
     """
-    Return how many requests of each workspace there was capacity for.
+    Return for how many requests of each workspace there was capacity.
 
-    Capacity goes to the most important rank first, and within a rank in equal
-    shares to the workspaces, as far as they ask.
+    Capacity goes to the most important rank first. Within a rank, workspaces get
+    equal shares, up to their demand.
     """
     due: dict[str, float] = {}
     for rank in sorted({request.rank for request in requests}):
-        asked = Counter(item.workspace for item in requests if item.rank == rank)
-        given = _fair_shares(asked, capacity)
-        capacity -= sum(given.values())
-        for name, count in given.items():
+        requested = Counter(item.workspace for item in requests if item.rank == rank)
+        granted = _fair_shares(requested, capacity)
+        capacity -= sum(granted.values())
+        for name, count in granted.items():
             due[name] = due.get(name, 0.0) + count
     return due
 
 
-def _fair_shares(asked: Counter[str], capacity: float) -> dict[str, float]:
-    """Share capacity out equally, giving nobody more than was asked."""
-    given: dict[str, float] = {}
-    left = capacity
-    ordered = sorted(asked.items(), key=lambda item: item[1])
-    for place, (name, count) in enumerate(ordered):
-        given[name] = min(float(count), left / (len(ordered) - place))
-        left -= given[name]
-    return given
+def _fair_shares(requested: Counter[str], capacity: float) -> dict[str, float]:
+    """Divide capacity equally, up to the demand of each workspace."""
+    granted: dict[str, float] = {}
+    remaining = capacity
+    ordered = sorted(requested.items(), key=lambda item: item[1])
+    for index, (name, count) in enumerate(ordered):
+        granted[name] = min(float(count), remaining / (len(ordered) - index))
+        remaining -= granted[name]
+    return granted
 
 
 def _recovery_s(schedule: Schedule, requests: list[Request]) -> float | None:
     """
-    Return the time after the cause's end until requests are answered again.
+    Return the time from the end of the cause until requests succeed again.
 
-    That is the start of the first second in which, at each quarter, 95% of the
-    arriving requests get their answer in time; None where there is none.
+    That is the start of the first second in which, in each quarter, 95% of the
+    arriving requests get their response in time; None if there is no such second.
     """
-    in_a_row = 0
+    bins_in_sequence = 0
     for start_s, arrived in _bins(schedule.ends_at, schedule.load_until, requests):
-        good = sum(request.good for request in arrived)
+        good = sum(request.completed_in_time for request in arrived)
         served = good >= RECOVERED_SHARE * len(arrived)
-        in_a_row = in_a_row + 1 if served else 0
-        if in_a_row == RECOVERED_BINS:
+        bins_in_sequence = bins_in_sequence + 1 if served else 0
+        if bins_in_sequence == RECOVERED_BINS:
             return round(start_s - (RECOVERED_BINS - 1) * BIN_S - schedule.ends_at, 3)
     return None
 
@@ -183,10 +187,10 @@
     count = round((end_s - begin_s) / BIN_S)
     arrived: list[list[Request]] = [[] for _ in range(count)]
     for request in requests:
-        place = int((request.arrived_at - begin_s) / BIN_S)
-        if begin_s <= request.arrived_at and place < count:
-            arrived[place].append(request)
-    return [(begin_s + place * BIN_S, item) for place, item in enumerate(arrived)]
+        index = int((request.arrived_at - begin_s) / BIN_S)
+        if begin_s <= request.arrived_at and index < count:
+            arrived[index].append(request)
+    return [(begin_s + index * BIN_S, item) for index, item in enumerate(arrived)]
 
 
 def _quantile(ordered: list[float], quantile: float) -> float:
--- a/bench/overload_ours.py
+++ b/bench/overload_ours.py
@@ -1,11 +1,11 @@
-"""The product's decisions, driven in virtual time over fake backend servers."""
+"""The call policy of damaskbay in virtual time, with simulated backend servers."""
 
 from collections.abc import Callable
 from dataclasses import replace
 from random import Random
 
-from bench.overload_fleet import HOP_S, Fleet
-from bench.overload_load import LOST_SHARE, Request
+from bench.overload_fleet import HOP_DELAY_S, Fleet
+from bench.overload_load import LOST_RESPONSE_SHARE, Request
 from bench.virtual_time import FakeServer, Job
 from damaskbay.core.admission import (
     AdmissionController,
@@ -30,7 +30,7 @@
 
 
 class Daemon:
-    """The decisions of one daemon beside one fake backend server."""
+    """Routing, admission and retries of one daemon and its simulated server."""
 
     def __init__(self, fleet: Fleet, view: ServerView, server: FakeServer) -> None:
         rng = fleet.rng
@@ -50,7 +50,7 @@
         fleet.events.after(TICK_S, self.tick)
 
     def admit(self, attempt: "Attempt") -> None:
-        """Take an attempt that has arrived, unless it was cancelled on the way."""
+        """Offer an attempt to admission, unless it was cancelled in flight."""
         if attempt.ended:
             return
         self._last_ticket += 1
@@ -61,7 +61,7 @@
         self.apply(self.controller.offer(item, self.fleet.events.now))
 
     def apply(self, decisions: tuple[Decision, ...]) -> None:
-        """Carry out decisions."""
+        """Run or refuse attempts as admission decided."""
         for decision in decisions:
             attempt = self._attempts_by_ticket[decision.ticket]
             if isinstance(decision, Start):
@@ -71,25 +71,25 @@
                 attempt.reply(decision.refusal, attempt.context.retry_tokens)
 
     def finish(self, attempt: "Attempt", sample: Sample) -> None:
-        """Free the slot of an attempt."""
+        """Free the slot of an attempt and report its sample to admission."""
         del self._attempts_by_ticket[attempt.ticket]
         now = self.fleet.events.now
         self.apply(self.controller.finish(attempt.ticket, sample, now))
 
     def withdraw(self, attempt: "Attempt") -> None:
-        """Forget a waiting attempt."""
+        """Remove a waiting attempt from admission."""
         if self._attempts_by_ticket.pop(attempt.ticket, None) is not None:
             now = self.fleet.events.now
             self.apply(self.controller.withdraw(attempt.ticket, now))
 
     def tick(self) -> None:
-        """Let waiting attempts expire."""
+        """Expire waiting attempts, and schedule the next tick."""
         self.apply(self.controller.expire(self.fleet.events.now))
         self.fleet.events.after(TICK_S, self.tick)
 
 
 class Call:
-    """One call at the daemon that sends it: choice, attempts and retries."""
+    """A call at the sending daemon: server choice, attempts and retries."""
 
     def __init__(
         self, daemon: Daemon, request: Request, context: CallContext, done: Done
@@ -105,7 +105,7 @@
         self._sent_at = 0.0
 
     def begin(self) -> None:
-        """Refuse early or send."""
+        """Refuse the call early or send its first attempt."""
         now = self.daemon.fleet.events.now
         servers = self.daemon.fleet.views_by_pool[self.context.pool]
         refusal = self.daemon.router.early_refusal(servers, self.context, now)
@@ -115,7 +115,7 @@
         self._send(frozenset())
 
     def cancel(self) -> None:
-        """Give the call up, and all below it."""
+        """Cancel the call and its nested calls."""
         if self.ended:
             return
         self.ended = True
@@ -125,7 +125,7 @@
         now = self.daemon.fleet.events.now
         outcome = RouteOutcome(now - self._sent_at, None, FailureKind.CANCELLED)
         self.daemon.router.finished(attempt.target.view.instance, outcome, now)
-        self.daemon.fleet.events.after(attempt.hop_s, attempt.cancel)
+        self.daemon.fleet.events.after(attempt.hop_delay_s, attempt.cancel)
 
     def _send(self, excluded: frozenset[str]) -> None:
         fleet = self.daemon.fleet
@@ -139,22 +139,22 @@
         if isinstance(view, Refusal):
             self._end(CallResult(view, 0, self.tokens))
             return
-        parts = split(
+        token_split = split(
             self.tokens, nested=fleet.next_pool(self.context.pool) is not None
         )
-        self.tokens = parts.kept
+        self.tokens = token_split.kept
         self.sends += 1
         self.request.attempts += 1
         self._sent_at = now
         self.daemon.router.started(view.instance, now)
         target = fleet.daemons_by_instance[view.instance]
-        hop_s = 0.0 if target is self.daemon else HOP_S
-        context = replace(self.context, retry_tokens=parts.moved)
-        self._attempt = Attempt(self, target, context, hop_s)
-        fleet.events.after(hop_s, target.admit, self._attempt)
+        hop_delay_s = 0.0 if target is self.daemon else HOP_DELAY_S
+        context = replace(self.context, retry_tokens=token_split.moved)
+        self._attempt = Attempt(self, target, context, hop_delay_s)
+        fleet.events.after(hop_delay_s, target.admit, self._attempt)
 
-    def answered(self, attempt: "Attempt", result: CallResult) -> None:
-        """Take what an attempt brought."""
+    def on_result(self, attempt: "Attempt", result: CallResult) -> None:
+        """Handle the result of an attempt."""
         if self.ended:
             return
         self._attempt = None
@@ -181,9 +181,9 @@
             return
         self.tokens -= 1
         excluded = frozenset({retry.excluded})
-        self.daemon.fleet.events.after(retry.delay_s, self._again, excluded)
+        self.daemon.fleet.events.after(retry.delay_s, self._retry, excluded)
 
-    def _again(self, excluded: frozenset[str]) -> None:
+    def _retry(self, excluded: frozenset[str]) -> None:
         if not self.ended:
             self._send(excluded)
 
@@ -193,25 +193,25 @@
 
 
 class Attempt:
-    """One send of a call, at the target daemon."""
+    """One attempt of a call, at the target daemon."""
 
     def __init__(
-        self, call: Call, target: Daemon, context: CallContext, hop_s: float
+        self, call: Call, target: Daemon, context: CallContext, hop_delay_s: float
     ) -> None:
         self.call = call
         self.target = target
         self.context = context
-        self.hop_s = hop_s
+        self.hop_delay_s = hop_delay_s
         self.ticket = 0
         self.ended = False
         self._job: Job | None = None
         self._token = ""
         self._nested: Call | None = None
-        self._nested_from = 0.0
+        self._nested_started_at = 0.0
         self._nested_s = 0.0
 
     def run(self) -> None:
-        """Start at the backend server."""
+        """Start the work at the backend server."""
         if self.context.depth == 0:
             self.call.request.runs += 1
         else:
@@ -219,10 +219,10 @@
         self._token = f"{self.target.view.instance}-{self.ticket}"
         self.target.tree.open(self.context, self._token)
         self._job = self.target.server.begin()
-        self.target.server.work(self._job, self._worked)
+        self.target.server.work(self._job, self._on_work_done)
 
     def cancel(self) -> None:
-        """Stop waiting or running, and all that was called."""
+        """Cancel the attempt and its nested call."""
         if self.ended:
             return
         self.ended = True
@@ -231,9 +231,9 @@
             return
         if self._nested is not None:
             self._nested.cancel()
-        self._free(cancelled=True)
+        self._free_slot(cancelled=True)
 
-    def _worked(self) -> None:
+    def _on_work_done(self) -> None:
         fleet = self.target.fleet
         pool = fleet.next_pool(self.context.pool)
         if pool is None:
@@ -246,29 +246,31 @@
             self._finish(Answer(STATUS_NESTED_FAILED))
             return
         self.target.tree.started(self._token, 1, context)
-        self._nested_from = now
+        self._nested_started_at = now
         self._nested = Call(
-            self.target, self.call.request, context, self._nested_answered
+            self.target, self.call.request, context, self._on_nested_result
         )
         self._nested.begin()
 
-    def _nested_answered(self, result: CallResult) -> None:
+    def _on_nested_result(self, result: CallResult) -> None:
         fleet = self.target.fleet
-        self._nested_s = fleet.events.now - self._nested_from
+        self._nested_s = fleet.events.now - self._nested_started_at
         self.target.tree.finished(self._token, 1, result.retry_tokens_left)
-        whole = isinstance(result.result, Answer) and result.result.status == STATUS_OK
-        self._finish(Answer(STATUS_OK if whole else STATUS_NESTED_FAILED))
+        succeeded = (
+            isinstance(result.result, Answer) and result.result.status == STATUS_OK
+        )
+        self._finish(Answer(STATUS_OK if succeeded else STATUS_NESTED_FAILED))
 
     def _finish(self, answer: Answer) -> None:
-        tokens = self._free(cancelled=False)
-        if self.target.fleet.rng.random() < LOST_SHARE:
+        tokens = self._free_slot(cancelled=False)
+        if self.target.fleet.rng.random() < LOST_RESPONSE_SHARE:
             self.call.request.lost = True
             self.reply(unknown(Reason.PEER_LOST), 0)
             return
         self.reply(answer, tokens)
 
-    def _free(self, *, cancelled: bool) -> int:
-        """Free the slot; return the retry tokens left."""
+    def _free_slot(self, *, cancelled: bool) -> int:
+        """Free the slot and return the unused retry tokens."""
         assert self._job is not None
         self.ended = True
         held_s = self.target.server.end(self._job)
@@ -279,7 +281,7 @@
         return closed.retry_tokens_left
 
     def reply(self, result: Answer | Refusal, tokens: int) -> None:
-        """Send back an answer or a refusal, with the admission level."""
+        """Send back a response or a refusal, with the admission level."""
         self.ended = True
         events = self.target.fleet.events
         level = self.target.controller.level(events.now)
@@ -289,11 +291,11 @@
             retry_tokens_left=tokens,
             admission_level=None if lost else level,
         )
-        events.after(self.hop_s, self.call.answered, self, answer)
+        events.after(self.hop_delay_s, self.call.on_result, self, answer)
 
 
 class OurSystem:
-    """Daemons and fake servers of one topology, as callers see them."""
+    """System of daemons and simulated servers of one topology."""
 
     def __init__(self, fleet: Fleet, servers: list[FakeServer]) -> None:
         self._fleet = fleet
@@ -302,25 +304,25 @@
             fleet.daemons_by_instance[server.instance] = Daemon(fleet, view, server)
 
     def submit(self, request: Request, ended: Callable[[Request, bool], None]) -> None:
-        """Send a request to any daemon of the first pool."""
+        """Send a request to a random daemon of the first pool."""
         fleet = self._fleet
         view = fleet.rng.choice(fleet.views_by_pool[fleet.topology.pools[0].name])
         context = fleet.root_context(request)
 
         def done(result: CallResult) -> None:
             answer = result.result
-            whole = isinstance(answer, Answer) and answer.status == STATUS_OK
-            if whole:
+            succeeded = isinstance(answer, Answer) and answer.status == STATUS_OK
+            if succeeded:
                 request.answered_at = fleet.events.now
             not_run = isinstance(answer, Refusal) and answer.not_run
             ended(request, request.idempotent or not_run)
 
         call = Call(fleet.daemons_by_instance[view.instance], request, context, done)
         left_s = request.deadline - fleet.events.now
-        fleet.events.after(left_s, self._hang_up, call, request, ended)
+        fleet.events.after(left_s, self._cancel_at_deadline, call, request, ended)
         call.begin()
 
-    def _hang_up(
+    def _cancel_at_deadline(
         self, call: Call, request: Request, ended: Callable[[Request, bool], None]
     ) -> None:
         if not call.ended:
@@ -329,7 +331,7 @@
 
 
 def _failure(result: Answer | Refusal) -> FailureKind | None:
-    """Return what a result says of the server."""
+    """Return the kind of failure of a result; None for a response."""
     if isinstance(result, Answer):
         return None
     if result.reason is Reason.PEER_LOST:
--- a/bench/overload_run.py
+++ b/bench/overload_run.py
@@ -1,4 +1,4 @@
-"""One run of the overload bench: requests, a system and what it measures."""
+"""One run of the overload benchmark: requests, system and figures."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -19,19 +19,19 @@
 from bench.overload_ours import OurSystem
 from bench.virtual_time import Events, FakeServer
 
-HARD_CLIENT_WAIT_S = 0.1
-HARD_CLIENT_TRIES = 11
+HARD_CLIENT_RETRY_DELAY_S = 0.1
+HARD_CLIENT_MAX_ATTEMPTS = 11
 FREE_SHARE = 0.1
 
 
 class System(Protocol):
-    """Takes requests and answers them."""
+    """A system that handles requests."""
 
     def submit(self, request: Request, ended: Callable[[Request, bool], None]) -> None:
         """
-        Run a request; set `answered_at` where its whole answer came.
+        Run a request; set `answered_at` when its complete response arrives.
 
-        `ended` is called with whether the caller may send it again.
+        Calls `ended` with the request and whether its caller may retry it.
         """
         ...
 
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """Figures and course of one run."""
+    """Figures and timeline of one run."""
 
     measures: Measures
     points: list[Point]
 
 
 class Callers:
-    """Send the requests, and again at once where the case says so."""
+    """Callers that send requests and, with `hard_clients`, retry them at once."""
 
     def __init__(
         self, events: Events, case: Case, system: System, servers: list[FakeServer]
@@ -71,8 +71,8 @@
             self._servers_by_pool.setdefault(server.pool, []).append(server)
 
     def send(self, request: Request) -> None:
-        """Send a request."""
-        request.tries += 1
+        """Submit one attempt of a request."""
+        request.caller_attempts += 1
         self._system.submit(request, self._ended)
 
     def _ended(self, request: Request, may_retry: bool) -> None:
@@ -80,17 +80,17 @@
         if request.answered_at is not None:
             request.ended_at = now
             return
-        again_s = now + HARD_CLIENT_WAIT_S
-        tries_left = request.tries < HARD_CLIENT_TRIES
-        hard = self._case.hard_clients and may_retry and tries_left
-        if hard and again_s < request.deadline:
-            self._events.after(HARD_CLIENT_WAIT_S, self.send, request)
+        retry_at = now + HARD_CLIENT_RETRY_DELAY_S
+        has_attempts_left = request.caller_attempts < HARD_CLIENT_MAX_ATTEMPTS
+        retries_at_once = self._case.hard_clients and may_retry and has_attempts_left
+        if retries_at_once and retry_at < request.deadline:
+            self._events.after(HARD_CLIENT_RETRY_DELAY_S, self.send, request)
             return
         request.ended_at = now
-        request.wrongful = not request.lost and self._capacity_free()
+        request.wrongful = not request.lost and self._has_free_capacity()
 
-    def _capacity_free(self) -> bool:
-        """Tell whether each pool had a tenth of its slots or more to spare."""
+    def _has_free_capacity(self) -> bool:
+        """Return whether each pool has at least a tenth of its slots free."""
         for servers in self._servers_by_pool.values():
             slots = sum(server.slots for server in servers)
             running = sum(server.running for server in servers)
@@ -100,7 +100,7 @@
 
 
 def run(spec: RunSpec) -> RunResult:
-    """Run one system under one case; the same seed gives the same load."""
+    """Run one system in one case; the same seed gives the same load."""
     events = Events()
     rng = Random(spec.seed + 1)
     servers = [
@@ -111,8 +111,10 @@
     system = _system(spec, events, servers, rng)
     callers = Callers(events, spec.case, system, servers)
     requests = make_requests(spec.topology, spec.case, spec.schedule, spec.seed)
-    events.after(spec.schedule.cause_at, _slow, servers, spec, spec.case.slowness)
-    events.after(spec.schedule.ends_at, _slow, servers, spec, 1.0)
+    events.after(
+        spec.schedule.cause_at, _set_slowness, servers, spec, spec.case.slowness
+    )
+    events.after(spec.schedule.ends_at, _set_slowness, servers, spec, 1.0)
     for request in requests:
         events.run(request.arrived_at)
         callers.send(request)
@@ -145,9 +147,9 @@
     )
 
 
-def _slow(servers: list[FakeServer], spec: RunSpec, slowness: float) -> None:
-    """Change how slow the last pool of the chain is."""
-    last = spec.topology.pools[-1].name
+def _set_slowness(servers: list[FakeServer], spec: RunSpec, slowness: float) -> None:
+    """Set the slowness of the last pool of the chain."""
+    last_pool = spec.topology.pools[-1].name
     for server in servers:
-        if server.pool == last:
+        if server.pool == last_pool:
             server.slowness = slowness
--- a/bench/plot.py
+++ b/bench/plot.py
@@ -1,4 +1,4 @@
-"""Plots of bench runs; needs the optional extra `plot`."""
+"""Plots of benchmark runs; requires the optional extra `plot`."""
 
 import importlib.util
 from pathlib import Path
@@ -6,18 +6,20 @@
 
 from bench.overload_run import RunResult, RunSpec
 
-MISSING = "bench: matplotlib is missing; install the extra: pip install damaskbay[plot]"
+MATPLOTLIB_MISSING = (
+    "bench: matplotlib is missing; install the extra: pip install damaskbay[plot]"
+)
 WIDTH_IN = 11.0
 ROW_HEIGHT_IN = 2.6
 
 
 def plot_available() -> bool:
-    """Tell whether matplotlib is installed."""
+    """Return whether matplotlib is installed."""
     return importlib.util.find_spec("matplotlib") is not None
 
 
 def plot_overload(specs: list[RunSpec], results: list[RunResult], path: str) -> None:
-    """Draw goodput and latency over time of each case into one PNG."""
+    """Draw goodput and latency over time, for each case, into one PNG file."""
     pyplot = _load_pyplot()
     names = list(dict.fromkeys(_name(spec) for spec in specs))
     figure, axes = pyplot.subplots(
--- a/bench/sets.py
+++ b/bench/sets.py
@@ -1,4 +1,4 @@
-"""Configuration sets for measurements and the demo."""
+"""Sample configuration sets for measurements and the demo."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -18,7 +18,7 @@
     connections: int = 150,
     deadline_s: float = 5.0,
 ) -> dict[str, Any]:
-    """Return a document with one idempotent and one non-idempotent route per pool."""
+    """Return a document with a read, a non-idempotent and a bulk route per pool."""
     routes: dict[str, Any] = {}
     for pool in pools:
         routes[f"{pool}-read"] = _route(pool, f"/{pool}/", deadline_s=deadline_s)
@@ -51,7 +51,7 @@
 
 
 def secrets_for(workspaces: Sequence[str]) -> dict[str, str]:
-    """Return a fresh key secret for each workspace."""
+    """Return a new key secret for each workspace."""
     return {name: new_key_secret() for name in workspaces}
 
 
--- a/bench/virtual_time.py
+++ b/bench/virtual_time.py
@@ -1,4 +1,4 @@
-"""Events in virtual time and the fake backend servers of the policy benches."""
+"""Discrete events in virtual time, and simulated backend servers."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -6,33 +6,33 @@
 from random import Random
 from typing import Any
 
-WORK_SHAPE = 4.0
-CROWDED_POWER = 1.5
+WORK_GAMMA_SHAPE = 4.0
+OVERLOAD_EXPONENT = 1.5
 
 
 class Events:
-    """Runs callbacks in order of virtual time, in seconds."""
+    """Event loop in virtual time, in seconds."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._numbers = count()
+        self._sequence = count()
 
-    def after(self, delay_s: float, step: Callable[..., None], *args: Any) -> None:
-        """Call `step(*args)` after a time."""
-        due = self.now + delay_s
-        heappush(self._heap, (due, next(self._numbers), step, args))
+    def after(self, delay_s: float, callback: Callable[..., None], *args: Any) -> None:
+        """Schedule `callback(*args)` after a delay."""
+        due_at = self.now + delay_s
+        heappush(self._heap, (due_at, next(self._sequence), callback, args))
 
     def run(self, until: float) -> None:
-        """Run all that is due before a time."""
+        """Run all events that are due at or before a time."""
         while self._heap and self._heap[0][0] <= until:
-            self.now, _, step, args = heappop(self._heap)
-            step(*args)
+            self.now, _, callback, args = heappop(self._heap)
+            callback(*args)
         self.now = until
 
 
 class Job:
-    """One request's work at a server; `alive` until it ends or is cancelled."""
+    """Work of one request at a server; `alive` until it ends or is cancelled."""
 
     __slots__ = ("alive", "started_at")
 
@@ -43,10 +43,10 @@
 
 class FakeServer:
     """
-    A backend server: work takes as long as drawn, times its slowness.
+    Simulated backend server with random work times, scaled by its slowness.
 
-    Work gets slower once more than `knee` requests run, by so much that running
-    more brings less.
+    If more than `knee` requests run, work slows so much that throughput drops
+    with each further request.
     """
 
     def __init__(
@@ -72,20 +72,22 @@
         self._knee = knee
 
     def begin(self) -> Job:
-        """Take a slot for a request."""
+        """Occupy a slot for a request."""
         self.running += 1
         return Job(self._events.now)
 
     def work(self, job: Job, then: Callable[..., None], *args: Any) -> None:
-        """Work for a drawn time, then go on unless the job was cancelled."""
-        drawn_s = self._rng.gammavariate(WORK_SHAPE, self._mean_s / WORK_SHAPE)
-        crowded = max(1.0, self.running / self._knee) ** CROWDED_POWER
+        """Call `then` after a random work time, unless the job was cancelled."""
+        work_s = self._rng.gammavariate(
+            WORK_GAMMA_SHAPE, self._mean_s / WORK_GAMMA_SHAPE
+        )
+        overload_factor = max(1.0, self.running / self._knee) ** OVERLOAD_EXPONENT
         self._events.after(
-            drawn_s * self.slowness * crowded, self._go_on, job, then, args
+            work_s * self.slowness * overload_factor, self._complete, job, then, args
         )
 
     def end(self, job: Job) -> float:
-        """Free the slot and return the seconds it was held; also cancels."""
+        """Free the slot and return the seconds it was held; cancels running work."""
         if not job.alive:
             return 0.0
         job.alive = False
@@ -94,7 +96,7 @@
         self.busy_s += held_s
         return held_s
 
-    def _go_on(
+    def _complete(
         self, job: Job, then: Callable[..., None], args: tuple[Any, ...]
     ) -> None:
         if job.alive:
