--- a/bench/config.py
+++ b/bench/config.py
@@ -1,4 +1,4 @@
-"""Time from an accepted set until it is in force on the last daemon."""
+"""Time from an accepted configuration set until all daemons have it active."""
 
 import statistics
 import time
@@ -32,7 +32,7 @@
 
 
 class Operator:
-    """Publishes sets one after the other and notes when each was accepted."""
+    """Publishes configuration sets and records when each was accepted."""
 
     def __init__(self, fleet: ControlFleet) -> None:
         self._fleet = fleet
@@ -43,10 +43,10 @@
 
     def publish(self) -> int:
         """
-        Publish the next set; return its version.
+        Publish the next set and return its version.
 
-        It counts as accepted when its head stands in the platform, which the
-        operator may learn later.
+        The set is accepted when its head is written to the platform, which may
+        be before the operator gets the reply.
         """
         before = self._platform.get(HEAD_KEY, timeout_s=CALL_TIMEOUT_S)
         revision = before.revision if isinstance(before, Entry) else 0
@@ -57,7 +57,7 @@
         return self._version
 
     def _publish(self) -> None:
-        document = read_checked(_plain(self._version + 1))
+        document = read_checked(_document_of(self._version + 1))
         assert isinstance(document, Document)
         publication = Publication(document, "bench", self._version, new_publish_id())
         result = self._publisher.publish(publication)
@@ -72,16 +72,16 @@
         return monotonic_s()
 
     def in_force_s(self, version: int) -> float:
-        """Wait until a version is in force everywhere; return how long it took."""
+        """Wait until all daemons have a version active; return the seconds it took."""
         figures = self._fleet.wait_until(
-            lambda items: all(_in_force_at(item, version) for item in items)
+            lambda items: all(_active_at(item, version) for item in items)
         )
-        times = [_in_force_at(item, version) or 0.0 for item in figures]
+        times = [_active_at(item, version) or 0.0 for item in figures]
         return max(times) - self._accepted_at_by_version[version]
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Publish to a fleet that is well, has a slow platform, and loses a relay."""
+    """Measure a healthy fleet, one with a slow platform, and one that loses relays."""
     options = parser("Time until a set is in force").parse_args(arguments)
     daemons = QUICK_DAEMONS if options.quick else DAEMONS
     count = QUICK_PUBLICATIONS if options.quick else PUBLICATIONS
@@ -89,12 +89,14 @@
         operator = Operator(fleet)
         first_s = operator.in_force_s(operator.publish())
         time.sleep(SETTLE_S)
-        well, calls = _counted(fleet, lambda: _series(operator, count))
+        normal, calls = _with_platform_requests(
+            fleet, lambda: _publish_series(operator, count)
+        )
         fleet.platform.inject(delay_s=SLOW_S)
-        slow = _series(operator, max(2, count // 4))
+        slow = _publish_series(operator, max(2, count // 4))
         fleet.platform.inject(delay_s=0.0)
         killed = [_with_relays_killed(fleet, operator, 1) for _ in range(2)]
-        both = _with_relays_killed(fleet, operator, 2)
+        both_killed_s = _with_relays_killed(fleet, operator, 2)
         reverted = sum(item["reverted"] for item in fleet.figures())
     return finish(
         "config",
@@ -103,10 +105,10 @@
             "failure_domains": 3,
             "publications": count,
             "first_in_force_s": round(first_s, 3),
-            "in_force_median_s": round(statistics.median(well), 3),
-            "in_force_max_s": round(max(well), 3),
+            "in_force_median_s": round(statistics.median(normal), 3),
+            "in_force_max_s": round(max(normal), 3),
             "in_force_max_s_relay_killed": round(max(killed), 3),
-            "in_force_max_s_both_relays_of_a_domain_killed": round(both, 3),
+            "in_force_max_s_both_relays_of_a_domain_killed": round(both_killed_s, 3),
             "in_force_max_s_platform_slow": round(max(slow), 3),
             "platform_slow_s": SLOW_S,
             "platform_reads_per_s": round(calls["reads"], 2),
@@ -117,26 +119,28 @@
     )
 
 
-def _plain(version: int) -> dict[str, Any]:
-    """Return the document of a version; each has one rate that is its own."""
-    plain = sample_set(
+def _document_of(version: int) -> dict[str, Any]:
+    """Return the document of a version; one rate differs in each version."""
+    content = sample_set(
         [f"p{number}" for number in range(POOLS)],
         secrets_by_workspace={f"w{number}": f"s{number}" for number in range(8)},
     )
-    plain["workspaces"]["w0"]["rate_per_s"] = 1_000.0 + version
-    return plain
+    content["workspaces"]["w0"]["rate_per_s"] = 1_000.0 + version
+    return content
 
 
-def _series(operator: Operator, count: int) -> list[float]:
-    taken = []
+def _publish_series(operator: Operator, count: int) -> list[float]:
+    times_s = []
     for _ in range(count):
-        taken.append(operator.in_force_s(operator.publish()))
+        times_s.append(operator.in_force_s(operator.publish()))
         time.sleep(GAP_S)
-    return taken
+    return times_s
 
 
-def _counted(fleet: ControlFleet, run: Any) -> tuple[list[float], dict[str, float]]:
-    """Run something; return its result and the platform's calls per second."""
+def _with_platform_requests(
+    fleet: ControlFleet, run: Any
+) -> tuple[list[float], dict[str, float]]:
+    """Call `run`; return its result and the platform requests per second."""
     counters = fleet.platform.counters
     reads, writes, began = counters.reads, counters.writes, monotonic_s()
     result = run()
@@ -149,19 +153,21 @@
 
 
 def _with_relays_killed(fleet: ControlFleet, operator: Operator, count: int) -> float:
-    """Kill some relays of one failure domain at the moment of a publication."""
+    """Kill relays of one failure domain and publish; return the seconds it took."""
     relays = [daemon for daemon in fleet.daemons if daemon.figures()["relay"]]
     domain = relays[0].failure_domain
-    lost = [daemon for daemon in relays if daemon.failure_domain == domain][:count]
-    for daemon in lost:
+    killed_relays = [daemon for daemon in relays if daemon.failure_domain == domain][
+        :count
+    ]
+    for daemon in killed_relays:
         fleet.kill(daemon)
-    taken = operator.in_force_s(operator.publish())
+    times_s = operator.in_force_s(operator.publish())
     time.sleep(RECOVERY_S)
-    return taken
+    return times_s
 
 
-def _in_force_at(figures: dict[str, Any], version: int) -> float | None:
-    """Return when a daemon had this version or a newer one; None: not yet."""
+def _active_at(figures: dict[str, Any], version: int) -> float | None:
+    """Return when a daemon activated this version or a newer one; None if not yet."""
     by_version: dict[str, float] = figures["at_by_version"]
     times = (at for number, at in by_version.items() if int(number) >= version)
     return min(times, default=None)
--- a/bench/config_set.py
+++ b/bench/config_set.py
@@ -1,4 +1,4 @@
-"""What a set of the target's size costs a daemon to take, whole or as a change."""
+"""Cost for a daemon to apply a large configuration set, in full or as a delta."""
 
 import time
 import tracemalloc
@@ -23,67 +23,74 @@
 
 
 def set_costs(*, services: int = SERVICES) -> dict[str, Any]:
-    """Return sizes and times for one daemon; times in ms, the least of some."""
-    plain = _plain(services)
+    """Return sizes in bytes and the shortest processor times in ms, for one daemon."""
+    content = _large_set(services)
     tracemalloc.start()
-    base = _read(plain)
+    base = _read(content)
     memory_mb = tracemalloc.get_traced_memory()[0] / BYTES_PER_MB
     tracemalloc.stop()
-    whole = missing_parts(base, 1, ())
+    full_set = missing_parts(base, 1, ())
     return {
         "services": services,
         "workspaces": WORKSPACES,
         "keys": KEYS,
         "document_bytes": base.size_bytes,
         "document_memory_mb": round(memory_mb, 1),
-        "whole_message_bytes": len(pack(whole)),
-        "take_whole_ms": _least_ms(lambda: _take_whole(base), 1),
-        "withdraw_key": _change(plain, base, "keys", "k1", None),
-        "change_rate": _change(
-            plain, base, "workspaces", "w1", {"rate_per_s": 7, "burst": 7}
+        "whole_message_bytes": len(pack(full_set)),
+        "take_whole_ms": _shortest_ms(lambda: _apply_full_set(base), 1),
+        "withdraw_key": _change_costs(content, base, "keys", "k1", None),
+        "change_rate": _change_costs(
+            content, base, "workspaces", "w1", {"rate_per_s": 7, "burst": 7}
         ),
-        "change_route": _change(
-            plain, base, "routes", "r1", {**plain["routes"]["r1"], "deadline_s": 4.5}
+        "change_route": _change_costs(
+            content,
+            base,
+            "routes",
+            "r1",
+            {**content["routes"]["r1"], "deadline_s": 4.5},
         ),
     }
 
 
-def _take_whole(base: Document) -> None:
+def _apply_full_set(base: Document) -> None:
     assert Holder().offer_parts(missing_parts(base, 1, ())) is Offer.TAKEN
 
 
-def _change(
-    plain: dict[str, Any], base: Document, kind: str, name: str, item: Any
+def _change_costs(
+    content: dict[str, Any], base: Document, kind: str, name: str, item: Any
 ) -> dict[str, Any]:
-    objects = {key: value for key, value in plain[kind].items() if key != name}
+    objects = {key: value for key, value in content[kind].items() if key != name}
     if item is not None:
         objects[name] = item
-    push = Push("i1", 2, make_delta(base, _read({**plain, kind: objects})))
+    push = Push("i1", 2, make_delta(base, _read({**content, kind: objects})))
 
-    def take() -> None:
+    def apply_push() -> None:
         holder = Holder()
         holder.offer(1, base)
         assert holder.offer_push(push) is Offer.TAKEN
 
-    return {"message_bytes": len(pack(push)), "take_ms": _least_ms(take, REPEATS)}
+    return {
+        "message_bytes": len(pack(push)),
+        "take_ms": _shortest_ms(apply_push, REPEATS),
+    }
 
 
-def _least_ms(step: Callable[[], None], repeats: int) -> float:
+def _shortest_ms(step: Callable[[], None], repeats: int) -> float:
     times = []
     for _ in range(repeats):
-        began = time.process_time()
+        started_s = time.process_time()
         step()
-        times.append(time.process_time() - began)
+        times.append(time.process_time() - started_s)
     return round(MS_PER_S * min(times), 2)
 
 
-def _read(plain: dict[str, Any]) -> Document:
-    document = read_checked(plain)
+def _read(content: dict[str, Any]) -> Document:
+    document = read_checked(content)
     assert isinstance(document, Document), document
     return document
 
 
-def _plain(services: int) -> dict[str, Any]:
+def _large_set(services: int) -> dict[str, Any]:
     routes = {}
     for number in range(services):
         last = number % 5 == 4 or number + 1 == services
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,4 @@
-"""What control costs a daemon: processor, memory, bytes, platform calls."""
+"""Control cost of a daemon: processor, memory, traffic and platform requests."""
 
 import time
 from collections.abc import Sequence
@@ -29,11 +29,13 @@
     members = QUICK_MEMBERS if options.quick else MEMBERS
     idle_s = QUICK_IDLE_S if options.quick else IDLE_S
     by_daemons = [_measure(count, options.seed, idle_s) for count in counts]
-    one_domain = _measure(min(ONE_DOMAIN, counts[-1]), options.seed, idle_s, domains=1)
+    in_one_domain = _measure(
+        min(ONE_DOMAIN, counts[-1]), options.seed, idle_s, domains=1
+    )
     result: dict[str, Any] = {
         "by_daemons": by_daemons,
         "slopes_per_daemon": _slopes(by_daemons),
-        "one_domain": one_domain,
+        "one_domain": in_one_domain,
         "set_costs": set_costs(services=100 if options.quick else SERVICES),
         "membership_by_members": [
             membership_figures(count, options.seed) for count in members
@@ -50,15 +52,15 @@
         fleet.wait_until(lambda figures: all(item["version"] for item in figures))
         time.sleep(SETTLE_S)
         before, cpu_before = fleet.figures(), _cpu(fleet)
-        calls_before = _calls(fleet)
+        calls_before = _platform_requests(fleet)
         time.sleep(idle_s)
-        calls = _calls(fleet) - calls_before
+        calls = _platform_requests(fleet) - calls_before
         pairs = zip(_cpu(fleet), cpu_before, strict=True)
         cpu = [end - start for end, start in pairs]
         after = fleet.figures()
         memory = [memory_mb(daemon.process.pid) for daemon in fleet.daemons]
     seconds = after[0]["now"] - before[0]["now"]
-    moved = [
+    traffic_bytes = [
         (end["gossip_bytes"] + end["stream_bytes"])
         - (start["gossip_bytes"] + start["stream_bytes"])
         for start, end in zip(before, after, strict=True)
@@ -73,9 +75,11 @@
         ),
         "memory_mb": round(sum(memory) / count, 1),
         "memory_mb_max": round(max(memory), 1),
-        "bytes_per_s": round(sum(moved) / count / seconds),
-        "bytes_per_s_max": round(max(moved) / seconds),
-        "bytes_per_s_relay": round(max(moved[index] for index in relays) / seconds),
+        "bytes_per_s": round(sum(traffic_bytes) / count / seconds),
+        "bytes_per_s_max": round(max(traffic_bytes) / seconds),
+        "bytes_per_s_relay": round(
+            max(traffic_bytes[index] for index in relays) / seconds
+        ),
         "streams_max": max(item["streams"] for item in after),
         "platform_calls_per_s": round(calls / seconds, 2),
     }
@@ -85,12 +89,12 @@
     return [cpu_s(daemon.process.pid) for daemon in fleet.daemons]
 
 
-def _calls(fleet: ControlFleet) -> int:
+def _platform_requests(fleet: ControlFleet) -> int:
     return fleet.platform.counters.reads + fleet.platform.counters.writes
 
 
 def _slopes(by_daemons: Sequence[dict[str, Any]]) -> dict[str, float]:
-    """Return what one more daemon in the fleet adds, by least squares."""
+    """Return the cost that each further daemon adds, by least squares."""
     counts = [item["daemons"] for item in by_daemons]
     names = ("core_share_pct", "memory_mb", "bytes_per_s", "platform_calls_per_s")
     return {
--- a/bench/control_fleet.py
+++ b/bench/control_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of control workers beside a platform stand-in."""
+"""Fleet of control worker processes and a platform stand-in."""
 
 import json
 import subprocess
@@ -19,32 +19,32 @@
 POLL_S = 0.2
 DOMAINS = ("d1", "d2", "d3")
 POOLS = 5
-DAEMONS_NET = 77
-"""Daemons have loopback numbers of their own, whose ports no other process takes."""
+LOOPBACK_NET = 77
+"""Second part of the daemons' loopback addresses, whose ports no other process uses."""
 PLATFORM_THREADS = 64
 
 
 @dataclass(slots=True)
 class Daemon:
-    """One worker process."""
+    """A worker process."""
 
     instance: str
     failure_domain: str
     process: "subprocess.Popen[str]"
 
     def figures(self) -> dict[str, Any]:
-        """Ask the worker for its figures."""
+        """Request and return the figures of the worker."""
         assert self.process.stdin is not None
         assert self.process.stdout is not None
         self.process.stdin.write("\n")
         self.process.stdin.flush()
-        answer: dict[str, Any] = json.loads(self.process.stdout.readline())
-        return answer
+        figures: dict[str, Any] = json.loads(self.process.stdout.readline())
+        return figures
 
 
 @dataclass(slots=True)
 class ControlFleet:
-    """Daemons spread over failure domains; a context manager."""
+    """Context manager for workers spread over failure domains."""
 
     count: int
     seed: int
@@ -59,7 +59,7 @@
         try:
             for index in range(self.count):
                 self.daemons.append(self._start(index, server.port))
-            self.wait_until(self._is_whole)
+            self.wait_until(self._is_converged)
         except BaseException:
             self.__exit__(None, None, None)
             raise
@@ -78,11 +78,11 @@
         self._stack.close()
 
     def figures(self) -> list[dict[str, Any]]:
-        """Ask all workers."""
+        """Return the figures of all workers."""
         return [daemon.figures() for daemon in self.daemons]
 
     def kill(self, daemon: Daemon) -> None:
-        """End one worker without a word."""
+        """Kill one worker."""
         self.daemons.remove(daemon)
         daemon.process.kill()
         daemon.process.communicate(timeout=STOP_TIMEOUT_S)
@@ -90,33 +90,33 @@
     def wait_until(
         self, condition: Callable[[Sequence[dict[str, Any]]], bool]
     ) -> list[dict[str, Any]]:
-        """Ask all workers until a condition holds; return their figures."""
-        limit = time.monotonic() + START_TIMEOUT_S
+        """Poll all workers until a condition holds and return their figures."""
+        deadline = time.monotonic() + START_TIMEOUT_S
         while True:
             figures = self.figures()
             if condition(figures):
                 return figures
-            if time.monotonic() > limit:
-                raise TimeoutError("the fleet did not come to the wanted state")
+            if time.monotonic() > deadline:
+                raise TimeoutError("the fleet did not reach the expected state in time")
             time.sleep(POLL_S)
 
-    def _is_whole(self, figures: Sequence[dict[str, Any]]) -> bool:
+    def _is_converged(self, figures: Sequence[dict[str, Any]]) -> bool:
         members = sum(item["members"] for item in figures)
         per_domain = [
             sum(daemon.failure_domain == domain for daemon in self.daemons)
             for domain in DOMAINS
         ]
-        wanted = sum(count * count for count in per_domain)
+        expected_members = sum(count * count for count in per_domain)
         domains = min(self.domains, self.count)
-        known = all(item["domains"] == domains for item in figures)
-        return members == wanted and known
+        all_domains_known = all(item["domains"] == domains for item in figures)
+        return members == expected_members and all_domains_known
 
     def _start(self, index: int, platform_port: int) -> Daemon:
         domain = DOMAINS[index % self.domains]
         plan = {
             "instance": f"{domain}-{index}",
             "failure_domain": domain,
-            "host": f"127.0.{DAEMONS_NET}.{index + 1}",
+            "host": f"127.0.{LOOPBACK_NET}.{index + 1}",
             "platform_host": HOST,
             "peer_port": free_port(),
             "gossip_port": free_port(),
--- a/bench/control_worker.py
+++ b/bench/control_worker.py
@@ -1,7 +1,8 @@
 """
-One daemon's parts for control, without the request path, as a process.
+Process with the control services of one daemon, without the request path.
 
-Reads JSON lines of commands from standard input, writes JSON lines of answers.
+Reads its plan as a JSON line from standard input, then writes its figures as a
+JSON line for each further line.
 """
 
 import json
@@ -25,7 +26,7 @@
 
 
 class Worker:
-    """The services of one daemon, and when each version came into force."""
+    """Control services of one daemon, with the time each version became active."""
 
     def __init__(self, stack: ExitStack, plan: dict[str, Any]) -> None:
         identity = PeerIdentity(plan["instance"], 1, plan["failure_domain"])
@@ -36,7 +37,7 @@
                 plan["platform_host"], plan["platform_port"], name=identity.instance
             )
         )
-        self._at_by_version: dict[int, float] = {}
+        self._active_at_by_version: dict[int, float] = {}
         self._reverted = 0
         self._version = 0
         self._link = PeerStreams(
@@ -66,15 +67,15 @@
             membership=self._membership,
             config=self._config,
         )
-        for part in (self._link, self._membership, self._config, rates):
-            stack.enter_context(part)
-        self._config.subscribe(self._take)
+        for service in (self._link, self._membership, self._config, rates):
+            stack.enter_context(service)
+        self._config.subscribe(self._on_config)
         self._membership.announce(
             pool=plan["pool"], state=ServerState.READY, slots=8, load=0.0
         )
 
     def figures(self) -> dict[str, Any]:
-        """Return what the measurements ask for."""
+        """Return the figures for the measurements."""
         stats = self._link.stats()
         report = self._config.report()
         return {
@@ -83,21 +84,21 @@
             "domains": len(self._membership.contacts_by_domain()),
             "version": report.version,
             "relay": report.relay,
-            "at_by_version": dict(self._at_by_version),
+            "at_by_version": dict(self._active_at_by_version),
             "reverted": self._reverted,
             "gossip_bytes": self._membership.gossip_bytes,
             "stream_bytes": stats.bytes_sent + stats.bytes_received,
             "streams": stats.streams,
         }
 
-    def _take(self, config: ConfigSet) -> None:
+    def _on_config(self, config: ConfigSet) -> None:
         self._reverted += config.version <= self._version
         self._version = config.version
-        self._at_by_version.setdefault(config.version, monotonic_s())
+        self._active_at_by_version.setdefault(config.version, monotonic_s())
 
 
 def main() -> int:
-    """Serve until standard input ends."""
+    """Run until the end of standard input."""
     logging.basicConfig(level=logging.ERROR)
     plan = json.loads(sys.stdin.readline())
     with ExitStack() as stack:
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,4 +1,4 @@
-"""A small fleet on this machine, from a published set to a graceful stop."""
+"""Demo of a local fleet, from the first configuration set to a graceful stop."""
 
 import signal
 import sys
@@ -25,11 +25,11 @@
 
 
 class DemoError(RuntimeError):
-    """A step of the demonstration did not show what it should."""
+    """A step of the demo failed."""
 
 
 def main() -> int:
-    """Run all steps and tell how each went."""
+    """Run all steps and print their results."""
     secrets = secrets_for(["fitters", "wells"])
     plans = [
         ServerPlan(f"{pool}-{domain}", f"domain-{domain}", pool, slots=SLOTS)
@@ -44,7 +44,14 @@
         say("starting a platform, 4 backend servers and 4 daemons in 2 domains")
         with fleet(plans, document) as running:
             say("set 1 is published and in force everywhere")
-            for step in (_whole_answer, _nested, _once, _withdrawn, _surge, _stop):
+            for step in (
+                _local_and_remote,
+                _nested,
+                _run_once,
+                _withdraw_key,
+                _surge,
+                _graceful_stop,
+            ):
                 step(running, document, secrets)
     except (DemoError, FleetError) as error:
         print(f"demo: FAILED: {error}")
@@ -54,7 +61,7 @@
 
 
 def say(text: str) -> None:
-    """Print one line of the account."""
+    """Print one line of the demo."""
     print(f"demo: {text}", flush=True)
 
 
@@ -67,7 +74,7 @@
     return client.call(method, path, host="demo", deadline_s=DEADLINE_S, **options)
 
 
-def _whole_answer(
+def _local_and_remote(
     running: Fleet, document: dict[str, Any], secrets: dict[str, str]
 ) -> None:
     server = running.servers_by_instance["lookup-a"]
@@ -89,7 +96,9 @@
     say("a backend server called on through its daemon, without any key: 200")
 
 
-def _once(running: Fleet, document: dict[str, Any], secrets: dict[str, str]) -> None:
+def _run_once(
+    running: Fleet, document: dict[str, Any], secrets: dict[str, str]
+) -> None:
     first = running.servers_by_instance["lookup-a"]
     second = running.servers_by_instance["ledger-b"]
     with (
@@ -108,16 +117,16 @@
     say("a filing sent twice, to two daemons, ran once; both got the same answer")
 
 
-def _withdrawn(
+def _withdraw_key(
     running: Fleet, document: dict[str, Any], secrets: dict[str, str]
 ) -> None:
-    without = {**document, "keys": dict(document["keys"])}
-    del without["keys"]["wells-key"]
+    document_without_key = {**document, "keys": dict(document["keys"])}
+    del document_without_key["keys"]["wells-key"]
     server = running.servers_by_instance["ledger-a"]
     with _client(server, secrets["wells"]) as client:
         if not isinstance(_call(client, "GET", "/ledger/x"), Answer):
             raise DemoError("a key was refused before it was withdrawn")
-        running.publish(without)
+        running.publish(document_without_key)
         began = time.monotonic()
         while isinstance(_call(client, "GET", "/ledger/x"), Answer):
             if time.monotonic() - began > WITHDRAWN_WITHIN_S:
@@ -128,7 +137,7 @@
 
 
 def _surge(running: Fleet, document: dict[str, Any], secrets: dict[str, str]) -> None:
-    """Send far more bulk work than fits, with a few critical calls among it."""
+    """Send more bulk calls than there are slots, with some critical calls."""
     servers = [running.servers_by_instance[f"ledger-{name}"] for name in ("a", "b")]
     outcomes: Counter[str] = Counter()
     shed: list[str] = []
@@ -152,7 +161,7 @@
                 if name == "refused":
                     time.sleep(POLL_S)
 
-    _together(send)
+    _run_threads(send)
     say(f"surge of {SURGE_THREADS} callers on 2 x {SLOTS} slots: {dict(outcomes)}")
     if outcomes["bulk refused"] == 0:
         raise DemoError("the surge shed no bulk work")
@@ -160,7 +169,7 @@
         raise DemoError(f"critical requests were shed: {Counter(shed)}")
 
 
-def _together(send: Callable[[int], None]) -> None:
+def _run_threads(send: Callable[[int], None]) -> None:
     threads = [
         threading.Thread(target=send, args=(number,)) for number in range(SURGE_THREADS)
     ]
@@ -170,8 +179,10 @@
         thread.join()
 
 
-def _stop(running: Fleet, document: dict[str, Any], secrets: dict[str, str]) -> None:
-    """Stop one daemon gracefully while calls go on."""
+def _graceful_stop(
+    running: Fleet, document: dict[str, Any], secrets: dict[str, str]
+) -> None:
+    """Stop one daemon gracefully under load."""
     server = running.servers_by_instance["ledger-a"]
     refused: list[Refusal] = []
     answered = 0
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,4 +1,4 @@
-"""What membership costs and how fast it is, over many members in virtual time."""
+"""Cost and detection times of membership, with many members in virtual time."""
 
 import time
 from typing import Any
@@ -16,7 +16,7 @@
 
 
 class CodedNetwork(Network):
-    """A network whose members encode and decode each datagram as daemons do."""
+    """Simulated network that encodes and decodes each datagram as daemons do."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
@@ -25,11 +25,14 @@
         self._codec_by_name: dict[str, PacketCodec] = {}
 
     def send(self, source: str, outgoing: list[Outgoing]) -> None:
-        """Encode datagrams and put them on the way."""
-        coded = [Outgoing(item.address, self._coded(source, item)) for item in outgoing]
-        super().send(source, coded)
-
-    def _coded(self, source: str, item: Outgoing) -> Packet:
+        """Encode, count and send datagrams."""
+        decoded = [
+            Outgoing(item.address, self._encoded_and_decoded(source, item))
+            for item in outgoing
+        ]
+        super().send(source, decoded)
+
+    def _encoded_and_decoded(self, source: str, item: Outgoing) -> Packet:
         target = self._name_by_address.get(item.address, "")
         data = self._codec(source).encode(item.packet)
         self.datagrams += 1
@@ -44,14 +47,14 @@
 
 
 def membership_figures(members: int, seed: int) -> dict[str, Any]:
-    """Return cost per member while idle, and how fast a drain and a crash spread."""
+    """Return the cost per idle member, and the time to detect a drain and a crash."""
     network = CodedNetwork(seed)
     network.start(members)
     network.run(2)
     network.datagrams = network.bytes = 0
-    began = time.process_time()
+    started_s = time.process_time()
     network.run(IDLE_S)
-    cpu_s = time.process_time() - began
+    cpu_s = time.process_time() - started_s
     per_member_s = members * IDLE_S
     idle = {
         "members": members,
@@ -59,29 +62,33 @@
         "bytes_per_s": round(2 * network.bytes / per_member_s),
         "core_share_pct": round(100 * cpu_s / per_member_s, 4),
     }
-    return {**idle, **_spread(network)}
+    return {**idle, **_detection_times(network)}
 
 
-def _spread(network: CodedNetwork) -> dict[str, Any]:
+def _detection_times(network: CodedNetwork) -> dict[str, Any]:
     swim = network.swim_by_name["m1"]
     network.datagrams = 0
     drained = swim.announce(
         pool="p", state=ServerState.DRAINING, slots=4, load=0, now=network.now
     )
     network.send("m1", drained)
-    drain_s = network.run_until(lambda: _avoided(network, "m1"), limit_s=LIMIT_S)
+    drain_s = network.run_until(
+        lambda: _is_avoided_by_all(network, "m1"), limit_s=LIMIT_S
+    )
     network.run(5)
     network.remove("m2")
-    crash_s = network.run_until(lambda: _avoided(network, "m2"), limit_s=LIMIT_S)
+    crash_s = network.run_until(
+        lambda: _is_avoided_by_all(network, "m2"), limit_s=LIMIT_S
+    )
     return {"drain_known_s": round(drain_s, 2), "crash_avoided_s": round(crash_s, 2)}
 
 
-def _avoided(network: CodedNetwork, instance: str) -> bool:
+def _is_avoided_by_all(network: CodedNetwork, instance: str) -> bool:
     others = [swim for name, swim in network.swim_by_name.items() if name != instance]
-    return not any(_uses(swim, instance) for swim in others)
+    return not any(_routes_to(swim, instance) for swim in others)
 
 
-def _uses(swim: Swim, instance: str) -> bool:
+def _routes_to(swim: Swim, instance: str) -> bool:
     record = swim.table.by_instance[instance]
     if record.entry.state is not ServerState.READY:
         return False
--- a/bench/rates.py
+++ b/bench/rates.py
@@ -1,4 +1,4 @@
-"""Rate and burst over a fleet in virtual time: excess, wrongful refusals, moves."""
+"""Rate limits of a fleet in virtual time: excess, wrongful refusals, demand moves."""
 
 import argparse
 import json
@@ -31,14 +31,14 @@
     Workspace("small-4", 6.0, 12),
     Workspace("small-5", 4.0, 8),
 )
-DEMAND_OF_RATE = {"hog": 5.0, "large-1": 0.7, "large-2": 0.7}
-SMALL_DEMAND = 0.6
-MOVING = ("small-1", "small-2")
+DEMAND_SHARE_BY_WORKSPACE = {"hog": 5.0, "large-1": 0.7, "large-2": 0.7}
+DEFAULT_DEMAND_SHARE = 0.6
+MOVED_WORKSPACES = ("small-1", "small-2")
 
 
 @dataclass
 class Scenario:
-    """Traffic with events at set times, in seconds from the start."""
+    """Traffic with scheduled events; times in seconds from the start."""
 
     seed: int
     options: ShareOptions
@@ -58,18 +58,18 @@
         self.moved_at: dict[str, float] = {}
 
     def run(self) -> None:
-        """Play traffic and events to the end."""
-        due = sorted([*self._requests(), *self._events()], key=lambda item: item[0])
-        for at, step in due:
+        """Run traffic and events to the end."""
+        steps = sorted([*self._requests(), *self._events()], key=lambda item: item[0])
+        for at, step in steps:
             self.fleet.run_until(at)
             step()
         self.fleet.run_until(self.length_s + 2)
 
     def move(self, workspaces: Iterable[str]) -> None:
-        """Let all demand of workspaces come in at the next domain."""
+        """Move all demand of the workspaces to the next failure domain."""
         for name in workspaces:
-            place = DOMAINS.index(self.home_by_workspace[name])
-            self.home_by_workspace[name] = DOMAINS[(place + 1) % len(DOMAINS)]
+            index = DOMAINS.index(self.home_by_workspace[name])
+            self.home_by_workspace[name] = DOMAINS[(index + 1) % len(DOMAINS)]
             self.moved_at[name] = self.fleet.now - self.fleet.started_at
 
     def _events(self) -> Iterable[tuple[float, Callable[[], None]]]:
@@ -78,7 +78,7 @@
 
     def _requests(self) -> Iterable[tuple[float, Callable[[], None]]]:
         for workspace in WORKSPACES:
-            demand = DEMAND_OF_RATE.get(workspace.name, SMALL_DEMAND)
+            demand = DEMAND_SHARE_BY_WORKSPACE.get(workspace.name, DEFAULT_DEMAND_SHARE)
             per_s = workspace.rate_per_s * demand
             at = self.rng.expovariate(per_s)
             while at < self.length_s:
@@ -93,23 +93,23 @@
 
 
 def faults(length_s: float) -> dict[float, Callable[[Scenario], None]]:
-    """Return the events of the long validity: moves, a cut, an outage."""
+    """Return the events for the long validity: moved demand, a partition, an outage."""
 
-    def cut(scenario: Scenario) -> None:
+    def partition(scenario: Scenario) -> None:
         home = scenario.home_by_workspace["small-3"]
         scenario.fleet.platform.inject(cut_clients=frozenset({home}))
 
     return {
-        0.2 * length_s: lambda scenario: scenario.move(MOVING),
-        0.4 * length_s: cut,
-        0.55 * length_s: lambda scenario: _heal(scenario),
-        0.65 * length_s: lambda scenario: _out(scenario, True),
-        0.9 * length_s: lambda scenario: _out(scenario, False),
+        0.2 * length_s: lambda scenario: scenario.move(MOVED_WORKSPACES),
+        0.4 * length_s: partition,
+        0.55 * length_s: lambda scenario: _end_partition(scenario),
+        0.65 * length_s: lambda scenario: _set_outage(scenario, True),
+        0.9 * length_s: lambda scenario: _set_outage(scenario, False),
     }
 
 
 def lapses(length_s: float) -> dict[float, Callable[[Scenario], None]]:
-    """Return the events of the short validity: a pause past it, a crash, a stop."""
+    """Return the events for the short validity: a long pause, a crash, a drain."""
 
     def holder(scenario: Scenario, workspace: str) -> Any:
         domain = scenario.home_by_workspace[workspace]
@@ -129,7 +129,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Measure and print; return the exit code."""
+    """Print the figures; return 1 if a limit was exceeded, else 0."""
     parser = argparse.ArgumentParser(prog="bench rates", description=__doc__)
     parser.add_argument("--json", action="store_true", help="print JSON alone")
     parser.add_argument("--seed", type=int, default=1)
@@ -145,12 +145,12 @@
     if options.save:
         RESULT.parent.mkdir(exist_ok=True)
         RESULT.write_text(text + "\n")
-    print(text if options.json else _for_people(figures))
+    print(text if options.json else _as_lines(figures))
     return 0 if figures["greatest_excess_tokens"] == 0 else 1
 
 
 def measure(seed: int, length_s: float, holders: int) -> dict[str, Any]:
-    """Run both scenarios and return the figures."""
+    """Run both scenarios and return their figures."""
     started_s = time.process_time()
     long = Scenario(seed, ShareOptions(holders=holders), length_s, faults(length_s))
     long.run()
@@ -177,7 +177,7 @@
         ),
         "wrongful_refusals_lapses": refused_short,
         "in_rate_requests_lapses": in_rate_short,
-        "over_rate_workspace_admitted_share": _hog_share(long),
+        "over_rate_workspace_admitted_share": _over_rate_admitted_share(long),
         "requests": len(long.fleet.arrivals) + len(short.fleet.arrivals),
         "daemons": len(DOMAINS) * DAEMONS_PER_DOMAIN,
         "virtual_s": length_s + short_s,
@@ -208,29 +208,30 @@
 
 def _refusals(scenario: Scenario) -> tuple[dict[str, int], dict[str, int]]:
     """
-    Count by workspace what one bucket that sees all requests would admit.
+    Return by workspace the wrongful refusals and the requests within the rate.
 
-    Wrongful refusals are how many fewer were admitted here.
+    Requests within the rate are those that a single central bucket would admit.
+    Wrongful refusals are how many fewer the fleet admitted.
     """
     refused, in_rate = {}, {}
     arrivals = _by_workspace(scenario)
     for item in WORKSPACES:
-        own = arrivals[item.name]
-        verdicts = naive_admits(own, item.rate_per_s, item.burst)
-        admitted = sum(one.refusal is None for one in own)
+        of_workspace = arrivals[item.name]
+        verdicts = naive_admits(of_workspace, item.rate_per_s, item.burst)
+        admitted = sum(one.refusal is None for one in of_workspace)
         in_rate[item.name] = sum(verdicts)
         refused[item.name] = max(0, sum(verdicts) - admitted)
     return refused, in_rate
 
 
-def _hog_share(scenario: Scenario) -> float:
-    """Return what a workspace over its rate got of what it may have."""
+def _over_rate_admitted_share(scenario: Scenario) -> float:
+    """Return the admitted share of the rate of a workspace that exceeds it."""
     refused, in_rate = _refusals(scenario)
     return round(1 - refused["hog"] / in_rate["hog"], 3)
 
 
 def _moved_served_s(scenario: Scenario) -> float:
-    """Return the longest time from a move until nearly all is served again."""
+    """Return the longest time in s from a move until 95% of requests are served."""
     arrivals = _by_workspace(scenario)
     return max(
         _served_after_s(arrivals[name], scenario.fleet.started_at + at)
@@ -248,17 +249,17 @@
     return float("inf")
 
 
-def _for_people(figures: dict[str, Any]) -> str:
+def _as_lines(figures: dict[str, Any]) -> str:
     lines = [f"{name}: {value}" for name, value in figures.items()]
     return "\n".join(["rates: in virtual time, real decisions", *lines])
 
 
-def _heal(scenario: Scenario) -> None:
+def _end_partition(scenario: Scenario) -> None:
     scenario.fleet.platform.inject(cut_clients=frozenset())
 
 
-def _out(scenario: Scenario, out: bool) -> None:
-    scenario.fleet.platform.inject(outage=out)
+def _set_outage(scenario: Scenario, active: bool) -> None:
+    scenario.fleet.platform.inject(outage=active)
 
 
 def _commit() -> str:
--- a/bench/rates_fleet.py
+++ b/bench/rates_fleet.py
@@ -1,4 +1,4 @@
-"""Daemons' rate tasks in virtual time over fakes: every message is an event."""
+"""Rate tasks of many daemons in virtual time; each message is an event."""
 
 import heapq
 import random
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request at one daemon, and what became of it."""
+    """A request at a daemon and its outcome."""
 
     at: float
     workspace: str
@@ -47,7 +47,7 @@
 
 
 class _Config:
-    """The set that one daemon has in force."""
+    """Source of a daemon's active configuration set."""
 
     def __init__(self, config: ConfigSet) -> None:
         self.config = config
@@ -60,7 +60,7 @@
 
 
 class _Membership:
-    """The live daemons of a domain, as all of them see it."""
+    """Members of a failure domain, the same for all its daemons."""
 
     def __init__(self) -> None:
         self.all: tuple[MemberView, ...] = ()
@@ -81,7 +81,7 @@
 
 
 class _Link:
-    """Delivers after a short time; nothing comes from or to a dead daemon."""
+    """Simulated peer link that delivers messages after a short delay."""
 
     def __init__(self, fleet: "VirtualFleet", address: PeerAddress) -> None:
         self._fleet = fleet
@@ -106,8 +106,8 @@
             fleet.carry(lambda: finish(answer))
 
         self._deliver(peer, message, _Responder(reply))
-        lost = PeerFailure(PeerProblem.TIMEOUT)
-        fleet.after(timeout_s, lambda: finish(lost))
+        timed_out = PeerFailure(PeerProblem.TIMEOUT)
+        fleet.after(timeout_s, lambda: finish(timed_out))
         return future
 
     def send(self, peer: PeerAddress, message: Any) -> None:
@@ -124,7 +124,7 @@
 
 
 class VirtualDaemon(RateTask):
-    """The real rates task, driven by events in place of its thread."""
+    """Rate task that is driven by events instead of its thread."""
 
     def __init__(
         self, fleet: "VirtualFleet", member: MemberView, options: ShareOptions
@@ -157,12 +157,12 @@
         fleet.after(rng.uniform(0, TICK_S), self._tick_again)
 
     def post(self, message: Any) -> bool:
-        """Handle the message as an event of its own."""
+        """Handle a message as soon as the daemon is not paused."""
         self.when_awake(lambda: self.handle(message, self._fleet.now))
         return True
 
     def when_awake(self, step: Callable[[], None]) -> None:
-        """Run a step now or, while this daemon is paused, when it wakes."""
+        """Run a step now or at the end of a pause; drop it if the daemon crashed."""
         if self.dead:
             return
         if self._fleet.now < self.paused_until:
@@ -196,7 +196,7 @@
 
 @dataclass
 class VirtualFleet:
-    """A fleet with a clock of its own; `run_until` advances it."""
+    """Fleet with a virtual clock, which `run_until` advances."""
 
     config: ConfigSet
     options: ShareOptions
@@ -213,15 +213,15 @@
         self.platform = MemoryPlatform(clock=lambda: self.now)
         self._rng = random.Random(self.seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._number = 0
+        self._sequence = 0
 
     def after(self, delay_s: float, step: Callable[[], None]) -> None:
-        """Run a step later."""
-        self._number += 1
-        heapq.heappush(self._events, (self.now + delay_s, self._number, step))
+        """Schedule a step after a delay."""
+        self._sequence += 1
+        heapq.heappush(self._events, (self.now + delay_s, self._sequence, step))
 
     def carry(self, step: Callable[[], None]) -> None:
-        """Run a step after a message's time on the way."""
+        """Schedule a step after a random message delay."""
         self.after(INSIDE_DOMAIN_S * self._rng.uniform(0.5, 2.0), step)
 
     def run_until(self, at: float) -> None:
@@ -240,7 +240,7 @@
             self.add_daemon(domain, number)
 
     def add_daemon(self, domain: str, number: int, incarnation: int = 1) -> None:
-        """Start one daemon, which all of its domain know at once."""
+        """Start a daemon; its failure domain knows it at once."""
         address = PeerAddress(f"{domain}/{incarnation}", number)
         member = MemberView(f"{domain}-{number}", incarnation, domain, address)
         membership = self.membership_by_domain[domain]
@@ -250,7 +250,7 @@
         membership.all = (*others, member)
 
     def holder(self, domain: str, bucket: str) -> VirtualDaemon:
-        """Return the daemon that holds a bucket's group in a domain."""
+        """Return the holder of a bucket's group in a failure domain."""
         live = self._live(domain)
         instance = live[0].holder_instance(bucket, self.now)
         return next(
@@ -258,30 +258,30 @@
         )
 
     def crash(self, daemon: VirtualDaemon) -> None:
-        """End a daemon at once; its domain notices after a while."""
+        """Crash a daemon; its failure domain removes it after the detection time."""
         daemon.dead = True
         self.after(DETECTION_S, lambda: self.forget(daemon))
 
     def forget(self, daemon: VirtualDaemon) -> None:
-        """Take a daemon off its domain's members."""
+        """Remove a daemon from the members of its failure domain."""
         membership = self.membership_by_domain[daemon.member.failure_domain]
         membership.all = tuple(
             item for item in membership.all if item is not daemon.member
         )
 
     def ledgers(self) -> list[GroupLedger]:
-        """Return the ledgers as they stand in the platform."""
+        """Return all valid ledgers in the platform."""
         entries = self.platform.client("reader").list(LEDGER_KEY_PREFIX, timeout_s=1)
         assert not isinstance(entries, PlatformFailure)
         ledgers = [decode_ledger(entry.value) for entry in entries]
         return [item for item in ledgers if isinstance(item, GroupLedger)]
 
     def leave(self, daemon: VirtualDaemon) -> None:
-        """Stop a daemon as planned."""
+        """Drain a daemon."""
         daemon.post(Leave())
 
     def publish(self, config: ConfigSet, *, within_s: float) -> None:
-        """Bring a newer set into force at each daemon at a time of its own."""
+        """Activate a newer set on each daemon at a random time within `within_s`."""
         self.config = config
         for daemons in self.daemons_by_domain.values():
             for daemon in daemons:
@@ -289,14 +289,14 @@
                 self.after(delay_s, lambda one=daemon: self._take(one, config))  # type: ignore[misc]
 
     def request(self, domain: str, workspace: str, limits: tuple[str, ...]) -> None:
-        """Send one request to a random live daemon of a domain."""
+        """Send a request to a random live daemon of a failure domain."""
         daemon = self._rng.choice(self._live(domain))
         self.request_at(daemon, workspace, limits)
 
     def request_at(
         self, daemon: VirtualDaemon, workspace: str, limits: tuple[str, ...] = ()
     ) -> None:
-        """Send one request to a daemon."""
+        """Send a request to a daemon."""
         arrived_at = self.now
         domain = daemon.member.failure_domain
 
@@ -315,16 +315,16 @@
         names: tuple[str, ...],
         done: Callable[[Refusal | None], None],
     ) -> None:
-        taken = daemon.shared.acquire(names, self.now)
-        if not isinstance(taken, Waiter):
-            done(taken)
+        acquired = daemon.shared.acquire(names, self.now)
+        if not isinstance(acquired, Waiter):
+            done(acquired)
             return
-        future = taken.future
+        future = acquired.future
         future.add_done_callback(lambda item: done(item.result()))
 
         def give_up() -> None:
             if not future.done():
-                done(daemon.shared.give_up(taken))
+                done(daemon.shared.give_up(acquired))
 
         self.after(MAX_WAIT_S, give_up)
         daemon.post(Wake())
@@ -339,30 +339,30 @@
 
 
 def greatest_excess(times: Iterable[float], rate_per_s: float, burst: float) -> float:
-    """Return the most by which any window exceeds rate x length + burst, or 0."""
+    """Return the largest excess of any window over rate x length + burst, or 0."""
     level = 0.0
     greatest = 0.0
-    before = None
+    previous_at = None
     for at in sorted(times):
-        if before is not None:
-            level = max(0.0, level - (at - before) * rate_per_s)
+        if previous_at is not None:
+            level = max(0.0, level - (at - previous_at) * rate_per_s)
         level += 1
         greatest = max(greatest, level - burst)
-        before = at
+        previous_at = at
     return 0.0 if greatest < 1e-6 else greatest
 
 
 def naive_admits(
     arrivals: Iterable[Arrival], rate_per_s: float, burst: float
 ) -> list[bool]:
-    """Tell for each request what one bucket that sees them all would say."""
+    """Return for each request whether a single central bucket would admit it."""
     level = burst
-    before = None
+    previous_at = None
     verdicts = []
     for arrival in arrivals:
-        if before is not None:
-            level = min(burst, level + (arrival.at - before) * rate_per_s)
-        before = arrival.at
+        if previous_at is not None:
+            level = min(burst, level + (arrival.at - previous_at) * rate_per_s)
+        previous_at = arrival.at
         verdicts.append(level >= 1)
         level -= level >= 1
     return verdicts
--- a/bench/rates_streams.py
+++ b/bench/rates_streams.py
@@ -1,4 +1,4 @@
-"""Token requests in real time: daemons on threads, peer streams on loopback."""
+"""Token requests in real time, between daemons on threads over peer streams."""
 
 import argparse
 import json
@@ -88,15 +88,20 @@
                 links.append((identity, link))
                 services.append(service)
             members.all = tuple(
-                MemberView(who.instance, who.incarnation, domain, link.address)
-                for who, link in links
+                MemberView(
+                    member_identity.instance,
+                    member_identity.incarnation,
+                    domain,
+                    link.address,
+                )
+                for member_identity, link in links
             )
         for service in services:
             stack.enter_context(service)
         yield services
 
 
-def _drive(service: RateService, seed: int, length_s: float) -> list[_Call]:
+def _send_calls(service: RateService, seed: int, length_s: float) -> list[_Call]:
     rng = random.Random(seed)
     end = monotonic_s() + length_s
     calls = []
@@ -112,22 +117,24 @@
     return calls
 
 
-def _drive_all(services: list[RateService], seed: int, length_s: float) -> list[_Call]:
+def _send_calls_to_all(
+    services: list[RateService], seed: int, length_s: float
+) -> list[_Call]:
     with ThreadPoolExecutor(len(services)) as pool:
         runs = [
-            pool.submit(_drive, service, seed + number, length_s)
+            pool.submit(_send_calls, service, seed + number, length_s)
             for number, service in enumerate(services)
         ]
         return [call for run in runs for call in run.result()]
 
 
-def _processor_s() -> float:
+def _cpu_s() -> float:
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return usage.ru_utime + usage.ru_stime
 
 
 def ledger_bytes() -> dict[str, int]:
-    """Return the size of a group's value by its buckets, with 30 holders each."""
+    """Return the encoded ledger size in bytes by bucket count, with 30 holders."""
     sizes = {}
     for buckets in (1, 10, 100):
         draft = LedgerDraft(GroupLedger(), lambda _: 0.0)
@@ -145,7 +152,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Measure and print; return the exit code."""
+    """Print the figures; return 1 if a limit was exceeded, else 0."""
     parser = argparse.ArgumentParser(prog="bench rates_streams", description=__doc__)
     parser.add_argument("--json", action="store_true", help="print JSON alone")
     parser.add_argument("--seed", type=int, default=1)
@@ -156,16 +163,16 @@
     options = parser.parse_args(arguments)
     length_s = 3.0 if options.quick else 15.0
     with _services(options.seed) as services:
-        first = _drive_all(services, options.seed, WARM_UP_S)
-        before = _processor_s()
-        calls = _drive_all(services, options.seed + 100, length_s)
-        spent_s = _processor_s() - before
-        idle_from = _processor_s()
+        warm_up_calls = _send_calls_to_all(services, options.seed, WARM_UP_S)
+        before = _cpu_s()
+        calls = _send_calls_to_all(services, options.seed + 100, length_s)
+        used_s = _cpu_s() - before
+        idle_started_s = _cpu_s()
         time.sleep(length_s / 3)
-        idle_s = _processor_s() - idle_from
-    figures = _figures(calls, spent_s, length_s) | {
-        "greatest_excess_tokens": _greatest_excess([*first, *calls]),
-        "refused_in_first_s": sum(not call.admitted for call in first),
+        idle_s = _cpu_s() - idle_started_s
+    figures = _figures(calls, used_s, length_s) | {
+        "greatest_excess_tokens": _greatest_excess([*warm_up_calls, *calls]),
+        "refused_in_first_s": sum(not call.admitted for call in warm_up_calls),
         "idle_core_share_pct_per_daemon": round(
             PERCENT * idle_s / (length_s / 3) / len(services), 2
         ),
@@ -196,7 +203,7 @@
     )
 
 
-def _figures(calls: list[_Call], spent_s: float, length_s: float) -> dict[str, Any]:
+def _figures(calls: list[_Call], used_s: float, length_s: float) -> dict[str, Any]:
     waited = sorted(call.waited_s for call in calls)
     admitted = [call for call in calls if call.admitted]
     return {
@@ -208,7 +215,7 @@
         "without_a_wait_share": round(
             sum(item < 0.0002 for item in waited) / len(waited), 3
         ),
-        "processor_us_per_call": round(1e6 * spent_s / len(calls), 1),
+        "processor_us_per_call": round(1e6 * used_s / len(calls), 1),
     }
 
 
--- a/bench/rates_ways.py
+++ b/bench/rates_ways.py
@@ -1,4 +1,4 @@
-"""Ways to keep shares through outages, cuts and crashes, for one small workspace."""
+"""Share strategies in outages, partitions and crashes, for a small workspace."""
 
 import argparse
 import json
@@ -24,12 +24,12 @@
 
 
 @dataclass(frozen=True)
-class Way:
+class Strategy:
     """
-    One way to keep shares.
+    Strategy for distributing the shares of a bucket.
 
-    `fixed_part` of the bucket is split evenly over the domains for good; the
-    rest follows demand under the options.
+    `fixed_part` of the bucket is divided equally among failure domains and never
+    moves; the rest follows demand as set by the options.
     """
 
     name: str
@@ -39,33 +39,35 @@
 
 SHORT = ShareOptions(validity_s=15.0, floor_share=0.0, keep_decay_s=3.0, holders=1)
 LONG = ShareOptions(holders=1)
-WAYS = (
-    Way("a: fixed floor, long validity", 1.0, SHORT),
-    Way("b: short shares only", 0.0, SHORT),
-    Way("c: half fixed floor, half short pool", 0.5, SHORT),
-    Way("d: sticky shares, no floor", 0.0, replace(LONG, floor_share=0.0)),
-    Way("d1: sticky shares, floor 1/16", 0.0, LONG),
-    Way("d2: sticky shares, floor 1/16, two holders", 0.0, replace(LONG, holders=2)),
+STRATEGIES = (
+    Strategy("a: fixed floor, long validity", 1.0, SHORT),
+    Strategy("b: short shares only", 0.0, SHORT),
+    Strategy("c: half fixed floor, half short pool", 0.5, SHORT),
+    Strategy("d: sticky shares, no floor", 0.0, replace(LONG, floor_share=0.0)),
+    Strategy("d1: sticky shares, floor 1/16", 0.0, LONG),
+    Strategy(
+        "d2: sticky shares, floor 1/16, two holders", 0.0, replace(LONG, holders=2)
+    ),
 )
 
 
-class Play:
-    """One run: a small workspace, nearly all of its demand in one domain."""
+class ScenarioRun:
+    """Run of a small workspace with most of its demand in one failure domain."""
 
     def __init__(
-        self, way: Way, domains: int, demand: float, fault: str, seed: int
+        self, strategy: Strategy, domains: int, demand: float, fault: str, seed: int
     ) -> None:
-        pool_part = 1 - way.fixed_part
+        pool_part = 1 - strategy.fixed_part
         self.pool = Workspace("w", RATE_PER_S * pool_part, int(BURST * pool_part))
         self.names = [f"d{number}" for number in range(domains)]
         self.fault = fault
         self.demand = demand
         self.rng = random.Random(seed)
         config = ConfigSet(1, "d", {"w": self.pool})
-        self.fleet = VirtualFleet(config, way.options, seed=seed)
+        self.fleet = VirtualFleet(config, strategy.options, seed=seed)
         for name in self.names:
             self.fleet.add_domain(name, DAEMONS_PER_DOMAIN)
-        part = way.fixed_part / domains
+        part = strategy.fixed_part / domains
         self.fixed_rate = RATE_PER_S * part
         self.fixed_burst = float(int(BURST * part))
         self.level_by_domain = dict.fromkeys(self.names, self.fixed_burst)
@@ -73,7 +75,7 @@
         self.fixed: list[Arrival] = []
 
     def run(self) -> list[Arrival]:
-        """Play and return all requests in their order."""
+        """Run the scenario and return all requests in order of time."""
         length_s = FAULT_AT_S + OUTAGE_S + 60
         at = 0.0
         begun = ended = False
@@ -81,7 +83,7 @@
             at += self.rng.expovariate(RATE_PER_S * self.demand)
             if not begun and at >= FAULT_AT_S:
                 begun = True
-                self._begin()
+                self._inject_fault()
             if not ended and at >= FAULT_AT_S + OUTAGE_S:
                 ended = True
                 self.fleet.platform.inject(outage=False, cut_clients=frozenset())
@@ -91,7 +93,7 @@
         arrivals = [*self.fixed, *self.fleet.arrivals]
         return sorted(arrivals, key=lambda item: item.at)
 
-    def _begin(self) -> None:
+    def _inject_fault(self) -> None:
         if self.fault in ("outage", "moved in outage"):
             self.fleet.platform.inject(outage=True)
         if self.fault == "cut":
@@ -118,8 +120,8 @@
         self.level_by_domain[domain] = level
 
 
-def judge(arrivals: list[Arrival]) -> dict[str, Any]:
-    """Return excess, wrongful refusals and the time until served again."""
+def evaluate(arrivals: list[Arrival]) -> dict[str, Any]:
+    """Return excess, wrongful refusals and the time of the last refusal."""
     verdicts = naive_admits(arrivals, RATE_PER_S, BURST)
     admitted = [item.at for item in arrivals if item.refusal is None]
     started_at = arrivals[0].at
@@ -137,7 +139,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Compare the ways and print; return the exit code."""
+    """Compare the strategies; return 1 if a limit was exceeded, else 0."""
     parser = argparse.ArgumentParser(prog="bench rates_ways", description=__doc__)
     parser.add_argument("--json", action="store_true", help="print JSON alone")
     parser.add_argument("--seed", type=int, default=1)
@@ -149,11 +151,11 @@
     operators = {"AMINE": 4} if options.quick else OPERATORS
     demands = {"middle": 0.6} if options.quick else DEMANDS
     rows = [
-        {"operator": operator, "demand": demand, "way": way.name, "fault": fault}
-        | judge(Play(way, domains, part, fault, options.seed).run())
+        {"operator": operator, "demand": demand, "way": strategy.name, "fault": fault}
+        | evaluate(ScenarioRun(strategy, domains, part, fault, options.seed).run())
         for operator, domains in operators.items()
         for demand, part in demands.items()
-        for way in WAYS
+        for strategy in STRATEGIES
         for fault in FAULTS
     ]
     text = json.dumps({"seed": options.seed, "rows": rows}, indent=1)
