--- a/bench/at_most_once.py
+++ b/bench/at_most_once.py
@@ -8,14 +8,14 @@
 
 from bench.common import finish, parser
 from damaskbay.core.at_most_once import AtMostOnceOptions, RequestOwner, Run
-from damaskbay.core.call import Answer
+from damaskbay.core.call import Response
 from damaskbay.ports.peer import PeerAddress
 
 IDS: Final = 50_000
 QUICK_IDS: Final = 5_000
 ADDRESS: Final = PeerAddress("127.0.0.1", 7000)
 SECRET: Final = b"bench peer secret"
-ANSWER: Final = Answer(201, (("Content-Type", "text/plain"),), b"x" * 100)
+ANSWER: Final = Response(201, (("Content-Type", "text/plain"),), b"x" * 100)
 
 
 def main(arguments: list[str] | None = None) -> int:
--- a/bench/config_set.py
+++ b/bench/config_set.py
@@ -8,7 +8,7 @@
 from damaskbay.config.check import read_checked
 from damaskbay.config.delta import make_delta
 from damaskbay.config.document import Document
-from damaskbay.core.dissemination.holder import Holder, Offer
+from damaskbay.core.dissemination.holder import ActiveConfig, OfferResult
 from damaskbay.core.dissemination.messages import Push
 from damaskbay.core.dissemination.parts import missing_parts
 from damaskbay.helpers.keys import digest_of
@@ -53,7 +53,9 @@
 
 
 def _apply_full_set(base: Document) -> None:
-    assert Holder().offer_parts(missing_parts(base, 1, ())) is Offer.TAKEN
+    assert (
+        ActiveConfig().offer_parts(missing_parts(base, 1, ())) is OfferResult.ACTIVATED
+    )
 
 
 def _change_costs(
@@ -65,9 +67,9 @@
     push = Push("i1", 2, make_delta(base, _read({**content, kind: objects})))
 
     def apply_push() -> None:
-        holder = Holder()
+        holder = ActiveConfig()
         holder.offer(1, base)
-        assert holder.offer_push(push) is Offer.TAKEN
+        assert holder.offer_push(push) is OfferResult.ACTIVATED
 
     return {
         "message_bytes": len(pack(push)),
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -11,7 +11,7 @@
 from bench.fleet import HOST, Fleet, FleetError, Server, ServerPlan, fleet
 from bench.sets import sample_set, secrets_for
 from damaskbay.client import Client, ClientOptions, DaemonAddress
-from damaskbay.core.call import Answer
+from damaskbay.core.call import Response
 from damaskbay.core.outcome import Refusal
 from damaskbay.stand_ins.backend import HEADER_NESTED, HEADER_WORK_MS
 
@@ -70,7 +70,7 @@
     return Client([address], secret, ClientOptions(max_attempts=1))
 
 
-def _call(client: Client, method: str, path: str, **options: Any) -> Answer | Refusal:
+def _call(client: Client, method: str, path: str, **options: Any) -> Response | Refusal:
     return client.call(method, path, host="demo", deadline_s=DEADLINE_S, **options)
 
 
@@ -81,7 +81,7 @@
     with _client(server, secrets["fitters"]) as client:
         for path in ("/lookup/nosing", "/ledger/nosing"):
             answer = _call(client, "GET", path)
-            if not isinstance(answer, Answer):
+            if not isinstance(answer, Response):
                 raise DemoError(f"{path} was refused: {answer}")
             say(f"GET {path} at lookup-a: {answer.status} {answer.body.decode()}")
 
@@ -91,7 +91,7 @@
     with _client(server, secrets["fitters"]) as client:
         headers = ((HEADER_NESTED, "/ledger/inner"),)
         answer = _call(client, "GET", "/lookup/outer", headers=headers)
-    if not isinstance(answer, Answer) or b"[200]" not in answer.body:
+    if not isinstance(answer, Response) or b"[200]" not in answer.body:
         raise DemoError(f"the nested call failed: {answer}")
     say("a backend server called on through its daemon, without any key: 200")
 
@@ -111,7 +111,9 @@
         path = "/ledger/file/certificate-1"
         one = _call(here, "POST", path, body=b"certificate", request_id=request_id)
         two = _call(there, "POST", path, body=b"certificate", request_id=request_id)
-    same = isinstance(one, Answer) and isinstance(two, Answer) and one.body == two.body
+    same = (
+        isinstance(one, Response) and isinstance(two, Response) and one.body == two.body
+    )
     if not same:
         raise DemoError(f"a repeat did not give the first answer: {one}, {two}")
     say("a filing sent twice, to two daemons, ran once; both got the same answer")
@@ -124,11 +126,11 @@
     del document_without_key["keys"]["wells-key"]
     server = running.servers_by_instance["ledger-a"]
     with _client(server, secrets["wells"]) as client:
-        if not isinstance(_call(client, "GET", "/ledger/x"), Answer):
+        if not isinstance(_call(client, "GET", "/ledger/x"), Response):
             raise DemoError("a key was refused before it was withdrawn")
         running.publish(document_without_key)
         began = time.monotonic()
-        while isinstance(_call(client, "GET", "/ledger/x"), Answer):
+        while isinstance(_call(client, "GET", "/ledger/x"), Response):
             if time.monotonic() - began > WITHDRAWN_WITHIN_S:
                 raise DemoError("a withdrawn key still works")
             time.sleep(POLL_S)
@@ -153,7 +155,7 @@
                 outcome = _call(
                     client, "GET", path, headers=((HEADER_WORK_MS, WORK_MS),)
                 )
-                name = "answered" if isinstance(outcome, Answer) else "refused"
+                name = "answered" if isinstance(outcome, Response) else "refused"
                 with lock:
                     outcomes[f"{kind} {name}"] += 1
                     if kind == "critical" and isinstance(outcome, Refusal):
--- a/bench/hop.py
+++ b/bench/hop.py
@@ -234,7 +234,7 @@
     with ThreadPoolExecutor(WORKERS) as pool:
 
         def answer(item: HopRequest, responder: Responder) -> None:
-            responder.answer(HopReply(item.number, item.body))
+            responder.reply(HopReply(item.number, item.body))
 
         def handle(_: PeerIdentity, item: HopRequest, responder: Responder) -> None:
             if transport == "inline":
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -92,4 +92,4 @@
     record = swim.table.by_instance[instance]
     if record.entry.state is not ServerState.READY:
         return False
-    return not swim.avoided(instance) and instance in pool_of(swim)
+    return not swim.is_avoided(instance) and instance in pool_of(swim)
--- a/bench/overload_ours.py
+++ b/bench/overload_ours.py
@@ -10,12 +10,12 @@
 from damaskbay.core.admission import (
     AdmissionController,
     AdmissionOptions,
+    CallSample,
     Decision,
-    Sample,
-    Start,
-    Waiting,
+    PendingCall,
+    StartDecision,
 )
-from damaskbay.core.call import Answer, CallContext, CallResult
+from damaskbay.core.call import CallContext, CallResult, Response
 from damaskbay.core.call_tree import CallTree
 from damaskbay.core.outcome import Reason, Refusal, unknown
 from damaskbay.core.retry import RetryBudget, RetryBudgetOptions, decide_retry, split
@@ -57,20 +57,20 @@
         attempt.ticket = self._last_ticket
         self._attempts_by_ticket[attempt.ticket] = attempt
         context = attempt.context
-        item = Waiting(attempt.ticket, context, cost=context.depth)
+        item = PendingCall(attempt.ticket, context, cost=context.depth)
         self.apply(self.controller.offer(item, self.fleet.events.now))
 
     def apply(self, decisions: tuple[Decision, ...]) -> None:
         """Run or refuse attempts as admission decided."""
         for decision in decisions:
             attempt = self._attempts_by_ticket[decision.ticket]
-            if isinstance(decision, Start):
+            if isinstance(decision, StartDecision):
                 attempt.run()
             else:
                 del self._attempts_by_ticket[decision.ticket]
                 attempt.reply(decision.refusal, attempt.context.retry_tokens)
 
-    def finish(self, attempt: "Attempt", sample: Sample) -> None:
+    def finish(self, attempt: "Attempt", sample: CallSample) -> None:
         """Free the slot of an attempt and report its sample to admission."""
         del self._attempts_by_ticket[attempt.ticket]
         now = self.fleet.events.now
@@ -124,7 +124,7 @@
             return
         now = self.daemon.fleet.events.now
         outcome = RouteOutcome(now - self._sent_at, None, FailureKind.CANCELLED)
-        self.daemon.router.finished(attempt.target.view.instance, outcome, now)
+        self.daemon.router.record_end(attempt.target.view.instance, outcome, now)
         self.daemon.fleet.events.after(attempt.hop_delay_s, attempt.cancel)
 
     def _send(self, excluded: frozenset[str]) -> None:
@@ -146,7 +146,7 @@
         self.sends += 1
         self.request.attempts += 1
         self._sent_at = now
-        self.daemon.router.started(view.instance, now)
+        self.daemon.router.record_start(view.instance, now)
         target = fleet.daemons_by_instance[view.instance]
         hop_delay_s = 0.0 if target is self.daemon else HOP_DELAY_S
         context = replace(self.context, retry_tokens=token_split.moved)
@@ -162,10 +162,10 @@
         instance = attempt.target.view.instance
         failure = _failure(result.result)
         outcome = RouteOutcome(now - self._sent_at, result.admission_level, failure)
-        self.daemon.router.finished(instance, outcome, now)
+        self.daemon.router.record_end(instance, outcome, now)
         self.tokens += result.retry_tokens_left
         budget = self.daemon.budget_by_pool[self.context.pool]
-        if isinstance(result.result, Answer):
+        if isinstance(result.result, Response):
             budget.succeeded()
         retry = decide_retry(
             replace(result, served_by=instance),
@@ -237,13 +237,13 @@
         fleet = self.target.fleet
         pool = fleet.next_pool(self.context.pool)
         if pool is None:
-            self._finish(Answer(STATUS_OK))
+            self._finish(Response(STATUS_OK))
             return
         now = fleet.events.now
         route = fleet.route(pool, idempotent=self.context.idempotent)
         context = self.target.tree.child_context(self._token, route, now)
         if isinstance(context, Refusal):
-            self._finish(Answer(STATUS_NESTED_FAILED))
+            self._finish(Response(STATUS_NESTED_FAILED))
             return
         self.target.tree.started(self._token, 1, context)
         self._nested_started_at = now
@@ -257,11 +257,11 @@
         self._nested_s = fleet.events.now - self._nested_started_at
         self.target.tree.finished(self._token, 1, result.retry_tokens_left)
         succeeded = (
-            isinstance(result.result, Answer) and result.result.status == STATUS_OK
+            isinstance(result.result, Response) and result.result.status == STATUS_OK
         )
-        self._finish(Answer(STATUS_OK if succeeded else STATUS_NESTED_FAILED))
+        self._finish(Response(STATUS_OK if succeeded else STATUS_NESTED_FAILED))
 
-    def _finish(self, answer: Answer) -> None:
+    def _finish(self, answer: Response) -> None:
         tokens = self._free_slot(cancelled=False)
         if self.target.fleet.rng.random() < LOST_RESPONSE_SHARE:
             self.call.request.lost = True
@@ -276,11 +276,11 @@
         held_s = self.target.server.end(self._job)
         self.call.request.held_s += held_s
         closed = self.target.tree.close(self._token)
-        sample = Sample(held_s, cancelled=cancelled, nested_s=self._nested_s)
+        sample = CallSample(held_s, cancelled=cancelled, nested_s=self._nested_s)
         self.target.finish(self, sample)
         return closed.retry_tokens_left
 
-    def reply(self, result: Answer | Refusal, tokens: int) -> None:
+    def reply(self, result: Response | Refusal, tokens: int) -> None:
         """Send back a response or a refusal, with the admission level."""
         self.ended = True
         events = self.target.fleet.events
@@ -311,7 +311,7 @@
 
         def done(result: CallResult) -> None:
             answer = result.result
-            succeeded = isinstance(answer, Answer) and answer.status == STATUS_OK
+            succeeded = isinstance(answer, Response) and answer.status == STATUS_OK
             if succeeded:
                 request.answered_at = fleet.events.now
             not_run = isinstance(answer, Refusal) and answer.not_run
@@ -330,9 +330,9 @@
             ended(request, False)
 
 
-def _failure(result: Answer | Refusal) -> FailureKind | None:
+def _failure(result: Response | Refusal) -> FailureKind | None:
     """Return the kind of failure of a result; None for a response."""
-    if isinstance(result, Answer):
+    if isinstance(result, Response):
         return None
     if result.reason is Reason.PEER_LOST:
         return FailureKind.LOST
--- a/bench/rates.py
+++ b/bench/rates.py
@@ -10,7 +10,12 @@
 from pathlib import Path
 from typing import Any
 
-from bench.rates_fleet import Arrival, VirtualFleet, greatest_excess, naive_admits
+from bench.rates_fleet import (
+    ReceivedRequest,
+    VirtualFleet,
+    greatest_excess,
+    naive_admits,
+)
 from damaskbay.config.objects import ConfigSet, Workspace
 from damaskbay.core.rates.options import ShareOptions
 
@@ -187,8 +192,8 @@
     }
 
 
-def _by_workspace(scenario: Scenario) -> dict[str, list[Arrival]]:
-    arrivals: dict[str, list[Arrival]] = {item.name: [] for item in WORKSPACES}
+def _by_workspace(scenario: Scenario) -> dict[str, list[ReceivedRequest]]:
+    arrivals: dict[str, list[ReceivedRequest]] = {item.name: [] for item in WORKSPACES}
     for arrival in sorted(scenario.fleet.arrivals, key=lambda item: item.at):
         arrivals[arrival.workspace].append(arrival)
     return arrivals
@@ -239,7 +244,7 @@
     )
 
 
-def _served_after_s(arrivals: list[Arrival], moved_at: float) -> float:
+def _served_after_s(arrivals: list[ReceivedRequest], moved_at: float) -> float:
     later = [item for item in arrivals if item.at >= moved_at]
     for start in later:
         window = [item for item in later if 0 <= item.at - start.at < SERVED_FOR_S]
--- a/bench/rates_fleet.py
+++ b/bench/rates_fleet.py
@@ -13,7 +13,7 @@
 from damaskbay.core.rates.const import LEDGER_KEY_PREFIX
 from damaskbay.core.rates.ledger import GroupLedger
 from damaskbay.core.rates.names import bucket_names
-from damaskbay.core.rates.node import LedgerCall
+from damaskbay.core.rates.node import LedgerRequest
 from damaskbay.core.rates.options import ShareOptions
 from damaskbay.core.rates.stock import Stock
 from damaskbay.daemon.rates import MAX_WAIT_S
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Arrival:
+class ReceivedRequest:
     """A request at a daemon and its outcome."""
 
     at: float
@@ -73,7 +73,7 @@
     def __init__(self, reply: Callable[[Any], None]) -> None:
         self._reply = reply
 
-    def answer(self, message: Any) -> None:
+    def reply(self, message: Any) -> None:
         self._reply(message)
 
     def on_cancel(self, callback: Callable[[], None]) -> None:
@@ -182,11 +182,11 @@
         for call in self._node.calls(self._total_of, now):
             self._fleet.after(PLATFORM_S, lambda call=call: self._call_platform(call))  # type: ignore[misc]
 
-    def _call_platform(self, call: LedgerCall) -> None:
+    def _call_platform(self, call: LedgerRequest) -> None:
         result = self._store.run(call)
         self._fleet.after(PLATFORM_S, lambda: self._finish(call, result))
 
-    def _finish(self, call: LedgerCall, result: Any) -> None:
+    def _finish(self, call: LedgerRequest, result: Any) -> None:
         def step() -> None:
             now = self._fleet.now
             self._deliver(self._node.call_done(call, result, now), now)
@@ -203,7 +203,7 @@
     seed: int = 0
     now: float = 1000.0
     messages: int = 0
-    arrivals: list[Arrival] = field(default_factory=list)
+    arrivals: list[ReceivedRequest] = field(default_factory=list)
     links_by_address: dict[PeerAddress, _Link] = field(default_factory=dict)
     membership_by_domain: dict[str, _Membership] = field(default_factory=dict)
     daemons_by_domain: dict[str, list[VirtualDaemon]] = field(default_factory=dict)
@@ -302,7 +302,7 @@
 
         def done(refusal: Refusal | None) -> None:
             at = arrived_at if refusal else self.now
-            self.arrivals.append(Arrival(at, workspace, domain, refusal))
+            self.arrivals.append(ReceivedRequest(at, workspace, domain, refusal))
 
         names = bucket_names(daemon.set_in_force.config, workspace, limits)
         if names is None:
@@ -353,7 +353,7 @@
 
 
 def naive_admits(
-    arrivals: Iterable[Arrival], rate_per_s: float, burst: float
+    arrivals: Iterable[ReceivedRequest], rate_per_s: float, burst: float
 ) -> list[bool]:
     """Return for each request whether a single central bucket would admit it."""
     level = burst
--- a/bench/rates_streams.py
+++ b/bench/rates_streams.py
@@ -18,7 +18,7 @@
 from damaskbay.core.rates.bucket import Share
 from damaskbay.core.rates.codec import encode_ledger
 from damaskbay.core.rates.ledger import GroupLedger, LedgerDraft
-from damaskbay.core.rates.names import Total
+from damaskbay.core.rates.names import BucketLimit
 from damaskbay.daemon.rates import RateService
 from damaskbay.helpers.clock import monotonic_s
 from damaskbay.ports.fleet import ConfigState, MemberView
@@ -143,7 +143,7 @@
             draft.renew(holder, 100_000, 900.0)
         for number in range(buckets):
             name = f"w/workspace-{number:05}"
-            draft.adopt_total(name, Total(100_000, 200_000, 9), first_tokens=True)
+            draft.set_limit(name, BucketLimit(100_000, 200_000, 9), first_tokens=True)
             for holder in holders:
                 draft.claim(name, holder, Share(3_000, 6_000))
                 draft.set_need(name, holder, Share(3_000, 6_000))
--- a/bench/rates_ways.py
+++ b/bench/rates_ways.py
@@ -8,7 +8,12 @@
 from pathlib import Path
 from typing import Any
 
-from bench.rates_fleet import Arrival, VirtualFleet, greatest_excess, naive_admits
+from bench.rates_fleet import (
+    ReceivedRequest,
+    VirtualFleet,
+    greatest_excess,
+    naive_admits,
+)
 from damaskbay.config.objects import ConfigSet, Workspace
 from damaskbay.core.rates.options import ShareOptions
 
@@ -37,7 +42,7 @@
     options: ShareOptions
 
 
-SHORT = ShareOptions(validity_s=15.0, floor_share=0.0, keep_decay_s=3.0, holders=1)
+SHORT = ShareOptions(validity_s=15.0, floor_share=0.0, peak_decay_s=3.0, holders=1)
 LONG = ShareOptions(holders=1)
 STRATEGIES = (
     Strategy("a: fixed floor, long validity", 1.0, SHORT),
@@ -72,9 +77,9 @@
         self.fixed_burst = float(int(BURST * part))
         self.level_by_domain = dict.fromkeys(self.names, self.fixed_burst)
         self.at_by_domain = dict.fromkeys(self.names, 0.0)
-        self.fixed: list[Arrival] = []
+        self.fixed: list[ReceivedRequest] = []
 
-    def run(self) -> list[Arrival]:
+    def run(self) -> list[ReceivedRequest]:
         """Run the scenario and return all requests in order of time."""
         length_s = FAULT_AT_S + OUTAGE_S + 60
         at = 0.0
@@ -113,14 +118,14 @@
         level = min(level, self.fixed_burst)
         if level >= 1 or not self.pool.burst:
             refusal: Any = None if level >= 1 else "fixed"
-            self.fixed.append(Arrival(self.fleet.now, "w", domain, refusal))
+            self.fixed.append(ReceivedRequest(self.fleet.now, "w", domain, refusal))
             level -= level >= 1
         else:
             self.fleet.request(domain, "w", ())
         self.level_by_domain[domain] = level
 
 
-def evaluate(arrivals: list[Arrival]) -> dict[str, Any]:
+def evaluate(arrivals: list[ReceivedRequest]) -> dict[str, Any]:
     """Return excess, wrongful refusals and the time of the last refusal."""
     verdicts = naive_admits(arrivals, RATE_PER_S, BURST)
     admitted = [item.at for item in arrivals if item.refusal is None]
--- a/damaskbay/adapters/backend_http/client.py
+++ b/damaskbay/adapters/backend_http/client.py
@@ -19,12 +19,12 @@
     AnswerTooLargeError,
 )
 from damaskbay.const import HEADER_CALL_TOKEN, HEADER_DEADLINE, MAX_BODY_BYTES
-from damaskbay.core.call import Answer, Headers, Request
+from damaskbay.core.call import Headers, Request, Response
 from damaskbay.core.outcome import Reason, Refusal, not_run, unknown
 from damaskbay.helpers.cancellation import Cancellation
 from damaskbay.helpers.clock import monotonic_s
-from damaskbay.helpers.http_exchange import Connection, read_answer, write_request
-from damaskbay.helpers.http_headers import without, without_hop_by_hop
+from damaskbay.helpers.http_exchange import Connection, read_response, write_request
+from damaskbay.helpers.http_headers import without_headers, without_hop_by_hop
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -83,7 +83,7 @@
         call_token: str,
         deadline: float,
         cancellation: Cancellation,
-    ) -> Answer | Refusal:
+    ) -> Response | Refusal:
         """Send the request once; see ports.backend.BackendServer."""
         if not self._connection_semaphore.acquire(
             timeout=max(0.0, deadline - self._clock())
@@ -102,7 +102,7 @@
         call_token: str,
         deadline: float,
         cancellation: Cancellation,
-    ) -> Answer | Refusal:
+    ) -> Response | Refusal:
         connection = self._open(deadline)
         if isinstance(connection, Refusal):
             return connection
@@ -113,7 +113,7 @@
                 return not_run(Reason.CANCELLED)
             response = self._exchange(connection, request, call_token, deadline)
         finally:
-            cancellation.forget(abort)
+            cancellation.remove_callback(abort)
             aborted = abort.disarm()
             if connection.reusable and not aborted:
                 self._store_idle(connection)
@@ -128,7 +128,7 @@
         while self._idle:
             connection = self._idle.pop()
             idle_s = self._clock() - connection.idle_since
-            if idle_s < self._options.idle_connection_s and connection.is_quiet():
+            if idle_s < self._options.idle_connection_s and connection.is_idle():
                 return connection
             connection.close()
         wait_s = min(self._options.connect_timeout_s, deadline - self._clock())
@@ -149,8 +149,8 @@
         request: Request,
         call_token: str,
         deadline: float,
-    ) -> Answer | Refusal:
-        connection.wrote = False
+    ) -> Response | Refusal:
+        connection.may_have_written = False
         connection.reusable = False
         try:
             remaining_s = deadline - self._clock()
@@ -166,9 +166,9 @@
                 request.body,
             )
             limit = self._options.max_body_bytes
-            response = read_answer(connection, deadline, self._clock, limit)
+            response = read_response(connection, deadline, self._clock, limit)
             headers = without_hop_by_hop(response.headers)
-            return Answer(response.status, headers, response.body)
+            return Response(response.status, headers, response.body)
         except TimeoutError:
             return _refusal(
                 connection, Reason.DEADLINE_PASSED, "no response before the deadline"
@@ -187,7 +187,9 @@
     def _headers(
         self, request: Request, call_token: str, remaining_s: float
     ) -> Headers:
-        forwarded = without(without_hop_by_hop(request.headers), _UNFORWARDED_HEADERS)
+        forwarded = without_headers(
+            without_hop_by_hop(request.headers), _UNFORWARDED_HEADERS
+        )
         return (
             ("Host", request.host),
             *forwarded,
@@ -229,7 +231,7 @@
 
 
 def _refusal(connection: Connection, reason: Reason, detail: str) -> Refusal:
-    if connection.wrote:
+    if connection.may_have_written:
         return unknown(reason, detail=detail)
     return not_run(reason, detail=detail)
 
--- a/damaskbay/adapters/caller_http/application.py
+++ b/damaskbay/adapters/caller_http/application.py
@@ -17,11 +17,11 @@
 from damaskbay.adapters.caller_http.hang_up import HangUpWatcher
 from damaskbay.adapters.caller_http.reading import read_call
 from damaskbay.const import HEADER_CALL_ID, HEADER_OUTCOME, HEADER_REASON
-from damaskbay.core.call import Answer, Headers
+from damaskbay.core.call import Headers, Response
 from damaskbay.core.http_status import status_of
 from damaskbay.core.outcome import Reason, Refusal, not_run, unknown
 from damaskbay.helpers.cancellation import Cancellation
-from damaskbay.helpers.http_headers import without, without_hop_by_hop
+from damaskbay.helpers.http_headers import without_headers, without_hop_by_hop
 from damaskbay.ports.caller import CallerService, ServedCall
 
 _LOGGER = logging.getLogger(__name__)
@@ -107,9 +107,11 @@
 
 
 def _write_response(
-    response: Answer, call_id: str, environ: Environ, start_response: StartResponse
+    response: Response, call_id: str, environ: Environ, start_response: StartResponse
 ) -> Iterable[bytes]:
-    headers = list(without(without_hop_by_hop(response.headers), _REFUSAL_HEADERS))
+    headers = list(
+        without_headers(without_hop_by_hop(response.headers), _REFUSAL_HEADERS)
+    )
     headers.append((HEADER_CALL_ID, call_id))
     no_body = (
         response.status in _STATUSES_WITHOUT_BODY or environ["REQUEST_METHOD"] == "HEAD"
--- a/damaskbay/adapters/http1/client.py
+++ b/damaskbay/adapters/http1/client.py
@@ -12,7 +12,7 @@
 from damaskbay.adapters.http1.exceptions import BadAnswerError
 from damaskbay.adapters.http1.names import decode_header_name
 from damaskbay.adapters.http1.sockets import set_tcp_options
-from damaskbay.core.call import Answer, Request
+from damaskbay.core.call import Request, Response
 from damaskbay.helpers.clock import monotonic_s
 from damaskbay.ports.peer import PeerAddress
 
@@ -89,7 +89,7 @@
         self._echo_name = (options.echo_header or "").lower()
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
-        self._pending: asyncio.Future[Answer | HttpFailure] | None = None
+        self._pending: asyncio.Future[Response | HttpFailure] | None = None
         self._request: Request | None = None
         self._expected_echo: str | None = None
         self._partial = _PartialResponse()
@@ -180,7 +180,7 @@
 
     async def send(
         self, request: Request, echo: str | None, timeout_s: float | None
-    ) -> Answer | HttpFailure:
+    ) -> Response | HttpFailure:
         """
         Send a request and wait up to `timeout_s` seconds for the response.
 
@@ -195,7 +195,7 @@
         self._expected_echo = echo
         self._partial = _PartialResponse()
         loop = asyncio.get_running_loop()
-        pending: asyncio.Future[Answer | HttpFailure] = loop.create_future()
+        pending: asyncio.Future[Response | HttpFailure] = loop.create_future()
         self._pending = pending
         timer = None
         if timeout_s is not None:
@@ -244,9 +244,9 @@
                 idle_s = int(server_s) - self._options.idle_margin_s
         self.idle_until = monotonic_s() + idle_s
 
-    def _to_outcome(self, partial: _PartialResponse) -> Answer | HttpFailure | None:
+    def _to_outcome(self, partial: _PartialResponse) -> Response | HttpFailure | None:
         """Return the response, or None if it belongs to an earlier request."""
-        response = Answer(
+        response = Response(
             partial.status, tuple(partial.headers), b"".join(partial.body)
         )
         if not self._echo_name or self._expected_echo is None:
@@ -257,7 +257,7 @@
             return HttpFailure(HttpProblem.GARBLED, "response has no request id header")
         return None
 
-    def _finish(self, outcome: Answer | HttpFailure | None) -> None:
+    def _finish(self, outcome: Response | HttpFailure | None) -> None:
         if outcome is None:
             _LOGGER.info("backend: discarded a late response to an earlier request.")
             return
@@ -285,7 +285,7 @@
         echo: str | None = None,
         fresh: bool = False,
         timeout_s: float | None = None,
-    ) -> Answer | HttpFailure:
+    ) -> Response | HttpFailure:
         """
         Send a request once and return a complete response or a failure.
 
--- a/damaskbay/adapters/http1/server.py
+++ b/damaskbay/adapters/http1/server.py
@@ -19,7 +19,7 @@
 from damaskbay.adapters.http1.names import decode_header_name
 from damaskbay.adapters.http1.sockets import listen
 from damaskbay.config.objects import CallerLimits
-from damaskbay.core.call import Answer, Request
+from damaskbay.core.call import Request, Response
 from damaskbay.helpers.clock import monotonic_s
 from damaskbay.ports.peer import PeerAddress
 
@@ -30,14 +30,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Arrival:
+class ReceivedRequest:
     """A complete request and the monotonic time at which its last byte was read."""
 
     request: Request
     arrived_at: float
 
 
-Handler = Callable[[Arrival], Awaitable[Answer]]
+Handler = Callable[[ReceivedRequest], Awaitable[Response]]
 """Serves one request; cancelled when the caller disconnects."""
 
 
@@ -45,7 +45,7 @@
 class _Exchange:
     """A request of a connection with its encoded response, once available."""
 
-    arrival: Arrival
+    arrival: ReceivedRequest
     keep_alive: bool
     task: "asyncio.Task[None] | None" = None
     encoded_response: bytes | None = None
@@ -184,7 +184,7 @@
             tuple(partial.headers),
             b"".join(partial.body),
         )
-        arrival = Arrival(request, self._last_active_at)
+        arrival = ReceivedRequest(request, self._last_active_at)
         exchange = _Exchange(arrival, self._parser.should_keep_alive())
         self._exchanges.append(exchange)
         exchange.task = asyncio.get_running_loop().create_task(self._serve(exchange))
@@ -215,7 +215,7 @@
             response = await self._server.handler(arrival)
         except Exception:
             _LOGGER.exception("edge: handler failed.")
-            response = Answer(int(http.HTTPStatus.INTERNAL_SERVER_ERROR))
+            response = Response(int(http.HTTPStatus.INTERNAL_SERVER_ERROR))
         keep_alive = exchange.keep_alive and not self._server.draining
         exchange.keep_alive = keep_alive
         exchange.encoded_response = encode_response(
@@ -258,7 +258,7 @@
             "edge: request is invalid.",
             extra={"status": int(status), "why": "malformed"},
         )
-        self._transport.write(encode_response(Answer(int(status)), "GET", False))
+        self._transport.write(encode_response(Response(int(status)), "GET", False))
         self._transport.close()
 
     def _apply_backpressure(self) -> None:
@@ -318,7 +318,7 @@
         self.close_idle()
 
     @property
-    def under_way(self) -> int:
+    def in_flight(self) -> int:
         """Return the number of connections with a request in flight."""
         return sum(1 for connection in self.connections if not connection.idle)
 
@@ -340,7 +340,7 @@
                 connection.close_if_timed_out(now)
 
 
-def encode_response(response: Answer, method: str, keep_alive: bool) -> bytes:
+def encode_response(response: Response, method: str, keep_alive: bool) -> bytes:
     """Encode a response, adding Content-Length; its headers must lack it."""
     no_body = method == "HEAD" or response.status in _STATUSES_WITHOUT_BODY
     phrase = _PHRASES.get(response.status, "Unknown")
--- a/damaskbay/adapters/peer_link/client.py
+++ b/damaskbay/adapters/peer_link/client.py
@@ -66,13 +66,13 @@
     ) -> None:
         if self._monitor_task is not None:
             self._monitor_task.cancel()
-        self.want(frozenset())
+        self.set_wanted_links(frozenset())
         if self._server is not None:
             self._server.close()
         for link in tuple(self._accepted):
             link.abort()
 
-    def want(self, peers: frozenset[PeerAddress]) -> None:
+    def set_wanted_links(self, peers: frozenset[PeerAddress]) -> None:
         """Set the peers to keep links to; close the links to all others."""
         for unwanted in self._tasks_by_peer.keys() - peers:
             self._tasks_by_peer.pop(unwanted).cancel()
@@ -106,7 +106,7 @@
             return PeerFailure(PeerProblem.NOT_SENT, "no link")
         return await link.request(message, timeout_s=timeout_s)
 
-    def tell_all(self) -> None:
+    def broadcast_note(self) -> None:
         """Send a note on every opened link now."""
         note = encode_note(self._note())
         for link in self._links_by_peer.values():
--- a/damaskbay/adapters/peer_link/link.py
+++ b/damaskbay/adapters/peer_link/link.py
@@ -15,7 +15,7 @@
     encode,
 )
 from damaskbay.helpers.clock import monotonic_s
-from damaskbay.helpers.messages import BadMessage, pack, unpack
+from damaskbay.helpers.messages import InvalidMessage, pack, unpack
 from damaskbay.ports.peer import PeerFailure, PeerProblem
 
 _LOGGER = logging.getLogger(__name__)
@@ -149,7 +149,7 @@
             self._resolve(frame, PeerFailure(PeerProblem.LOST, "handler failed"))
             return
         message = unpack(frame.payload, max_bytes=MAX_FRAME_BYTES)
-        if isinstance(message, BadMessage):
+        if isinstance(message, InvalidMessage):
             _LOGGER.warning("peer: bad message.", extra={"why": message.detail})
             if frame.kind is FrameKind.REQUEST:
                 self._write_frame(FrameKind.REJECTED, frame.number)
--- a/damaskbay/adapters/peer_stream/client.py
+++ b/damaskbay/adapters/peer_stream/client.py
@@ -14,7 +14,7 @@
 from damaskbay.adapters.peer_stream.proof import Handshake, Role
 from damaskbay.adapters.peer_stream.request import OutgoingRequest
 from damaskbay.adapters.peer_stream.stream import PeerStream, StreamState
-from damaskbay.helpers.messages import BadMessage, unpack
+from damaskbay.helpers.messages import InvalidMessage, unpack
 from damaskbay.ports.peer import (
     PeerAddress,
     PeerFailure,
@@ -196,7 +196,7 @@
 
     def _parse_reply(self, payload: bytes) -> Any:
         item = unpack(payload, max_bytes=self._options.max_frame_bytes)
-        if isinstance(item, BadMessage):
+        if isinstance(item, InvalidMessage):
             return PeerFailure(PeerProblem.LOST, f"invalid reply: {item.detail}")
         return item
 
--- a/damaskbay/adapters/peer_stream/responder.py
+++ b/damaskbay/adapters/peer_stream/responder.py
@@ -66,7 +66,7 @@
         self._request = request
         self._command_queue = command_queue
 
-    def answer(self, message: Any) -> None:
+    def reply(self, message: Any) -> None:
         """Send the reply; a second one is dropped."""
         if not self._request.open:
             return
@@ -100,7 +100,7 @@
 class NullResponder:
     """Responder of a one-way message, which discards replies."""
 
-    def answer(self, message: Any) -> None:
+    def reply(self, message: Any) -> None:
         """Discard the reply."""
 
     def on_cancel(self, callback: Callable[[], None]) -> None:
--- a/damaskbay/adapters/peer_stream/server.py
+++ b/damaskbay/adapters/peer_stream/server.py
@@ -23,7 +23,7 @@
     StreamResponder,
 )
 from damaskbay.adapters.peer_stream.stream import PeerStream
-from damaskbay.helpers.messages import BadMessage, unpack
+from damaskbay.helpers.messages import InvalidMessage, unpack
 from damaskbay.ports.peer import Handler, PeerAddress, PeerIdentity
 
 _LOGGER = logging.getLogger(__name__)
@@ -199,7 +199,7 @@
             return
         message = unpack(frame.payload, max_bytes=self._options.max_frame_bytes)
         handler = self._handlers.get(type(message))
-        if isinstance(message, BadMessage) or handler is None:
+        if isinstance(message, InvalidMessage) or handler is None:
             self._reject(request, "no handler for this message")
             return
         self._stats.requests_received += 1
@@ -228,7 +228,7 @@
     def _handle_one_way(self, stream: PeerStream, frame: Frame) -> None:
         message = unpack(frame.payload, max_bytes=self._options.max_frame_bytes)
         handler = self._handlers.get(type(message))
-        if isinstance(message, BadMessage) or handler is None:
+        if isinstance(message, InvalidMessage) or handler is None:
             self._stats.messages_rejected += 1
             return
         try:
--- a/damaskbay/adapters/telemetry/bound.py
+++ b/damaskbay/adapters/telemetry/bound.py
@@ -19,7 +19,7 @@
     MAX_WORKSPACE_LABELS,
 )
 from damaskbay.adapters.telemetry.histogram import PlainHistogram
-from damaskbay.core.call import Answer, CallContext, CallResult
+from damaskbay.core.call import CallContext, CallResult, Response
 from damaskbay.core.outcome import Refusal
 
 OUTCOME_ANSWER = "answer"
@@ -62,7 +62,7 @@
         self._series: dict[tuple[str, int], _Series] = {}
         self._workspaces: set[str] = set()
 
-    def turned_away(self, workspace: str, refusal: Refusal) -> None:
+    def record_refusal(self, workspace: str, refusal: Refusal) -> None:
         """Count a call that was refused before it was sent to any backend server."""
         outcome, reason = refusal.outcome.value, refusal.reason.value
         self._calls.labels(self._workspace_label(workspace), "", outcome, reason).inc()
@@ -79,7 +79,7 @@
         if result.attempts > 1:
             self._retries.labels(*self._labels(context)).inc(result.attempts - 1)
 
-    def queue_waited(self, context: CallContext, waited_s: float) -> None:
+    def record_queue_wait(self, context: CallContext, waited_s: float) -> None:
         """Record the time that a call waited for admission, in seconds."""
         self._series_for(context).queue_wait.observe(waited_s)
 
@@ -92,7 +92,7 @@
         return generate_latest(self._registry)
 
     def _call_counter(
-        self, context: CallContext, series: _Series, outcome: Answer | Refusal
+        self, context: CallContext, series: _Series, outcome: Response | Refusal
     ) -> Counter:
         """Return the cached counter of an outcome and its reason."""
         outcome_label, key = OUTCOME_ANSWER, ""
--- a/damaskbay/adapters/telemetry/client.py
+++ b/damaskbay/adapters/telemetry/client.py
@@ -20,7 +20,7 @@
     MAX_WORKSPACE_LABELS,
     METER_NAME,
 )
-from damaskbay.core.call import Answer, CallContext, CallResult
+from damaskbay.core.call import CallContext, CallResult, Response
 
 OUTCOME_ANSWER = "answer"
 
@@ -63,7 +63,7 @@
         labels = self._labels(context)
         self._latency.record(took_s, labels)
         outcome = result.result
-        if isinstance(outcome, Answer):
+        if isinstance(outcome, Response):
             outcome_labels = {ATTR_OUTCOME: OUTCOME_ANSWER, ATTR_REASON: ""}
             if result.backend_s is not None:
                 self._added.record(max(0.0, took_s - result.backend_s), labels)
@@ -76,7 +76,7 @@
         if result.attempts > 1:
             self._retries.add(result.attempts - 1, labels)
 
-    def queue_waited(self, context: CallContext, waited_s: float) -> None:
+    def record_queue_wait(self, context: CallContext, waited_s: float) -> None:
         """Record the time that a call waited for admission, in seconds."""
         self._queue_wait.record(waited_s, self._labels(context))
 
--- a/damaskbay/client/attempts.py
+++ b/damaskbay/client/attempts.py
@@ -5,7 +5,7 @@
 
 from damaskbay.client.const import FINAL_REASONS, MIN_ATTEMPT_S
 from damaskbay.client.options import ClientOptions
-from damaskbay.core.call import Answer
+from damaskbay.core.call import Response
 from damaskbay.core.outcome import Outcome, Reason, Refusal
 
 
@@ -25,17 +25,17 @@
     finished_attempts: int = 0
     first_unknown: Refusal | None = None
 
-    def record(self, result: Answer | Refusal) -> None:
+    def record(self, result: Response | Refusal) -> None:
         """Record the result of one attempt."""
         self.finished_attempts += 1
         if isinstance(result, Refusal) and not result.not_run:
             self.first_unknown = self.first_unknown or result
 
     def retry_delay_s(
-        self, result: Answer | Refusal, now: float, rng: random.Random
+        self, result: Response | Refusal, now: float, rng: random.Random
     ) -> float | None:
         """Return the delay before the next attempt in seconds, None for no retry."""
-        if isinstance(result, Answer) or not self._may_retry(result):
+        if isinstance(result, Response) or not self._may_retry(result):
             return None
         delay_s = self._back_off_delay_s(rng)
         if result.retry_after_s is not None:
@@ -45,9 +45,9 @@
             return None
         return delay_s
 
-    def result(self, last: Answer | Refusal) -> Answer | Refusal:
+    def result(self, last: Response | Refusal) -> Response | Refusal:
         """Return the result of the call, given the result of the last attempt."""
-        if isinstance(last, Answer) or not last.not_run:
+        if isinstance(last, Response) or not last.not_run:
             return last
         return self.first_unknown or last
 
--- a/damaskbay/client/client.py
+++ b/damaskbay/client/client.py
@@ -23,7 +23,7 @@
     HEADER_REASON,
     HEADER_REQUEST_ID,
 )
-from damaskbay.core.call import Answer, Headers
+from damaskbay.core.call import Headers, Response
 from damaskbay.core.outcome import Reason, Refusal
 from damaskbay.helpers.clock import monotonic_s
 
@@ -83,7 +83,7 @@
         deadline_s: float,
         request_id: str | None = None,
         idempotent: bool | None = None,
-    ) -> Answer | Refusal:
+    ) -> Response | Refusal:
         """
         Call a service and return its complete response, or a refusal.
 
@@ -132,7 +132,7 @@
             request = DaemonRequest("POST", target, request_headers, b"", deadline)
             result = self._send(address, request)
             attempts.record(result)
-            if isinstance(result, Answer):
+            if isinstance(result, Response):
                 return self._store_issued_ids(result, address, now)
             if _is_daemon_failure(result):
                 failed_daemons.add(address)
@@ -142,7 +142,7 @@
             self._sleep(delay_s)
 
     def _store_issued_ids(
-        self, response: Answer, issuer: DaemonAddress, requested_at: float
+        self, response: Response, issuer: DaemonAddress, requested_at: float
     ) -> str | Refusal:
         issued = parse_issued_ids(response)
         if isinstance(issued, Refusal):
@@ -166,7 +166,9 @@
             )
         return tuple(request_headers)
 
-    def _send(self, address: DaemonAddress, request: DaemonRequest) -> Answer | Refusal:
+    def _send(
+        self, address: DaemonAddress, request: DaemonRequest
+    ) -> Response | Refusal:
         remaining_ms = max(1, int((request.deadline - self._clock()) * 1_000))
         headers = (*request.headers, (HEADER_DEADLINE, str(remaining_ms)))
         request_with_deadline = DaemonRequest(
@@ -195,11 +197,11 @@
             return self._request_ids.issuer_of(request_id)
 
 
-def _is_daemon_failure(result: Answer | Refusal) -> bool:
+def _is_daemon_failure(result: Response | Refusal) -> bool:
     return isinstance(result, Refusal) and result.reason in _DAEMON_FAILURE_REASONS
 
 
-def _extract_refusal(result: Answer | Refusal) -> Answer | Refusal:
+def _extract_refusal(result: Response | Refusal) -> Response | Refusal:
     """Return the refusal that is encoded in a response, or else the response."""
     if isinstance(result, Refusal):
         return result
--- a/damaskbay/client/connections.py
+++ b/damaskbay/client/connections.py
@@ -8,13 +8,13 @@
 from dataclasses import dataclass
 
 from damaskbay.client.options import ClientOptions, DaemonAddress
-from damaskbay.core.call import Answer, Headers
+from damaskbay.core.call import Headers, Response
 from damaskbay.core.outcome import Reason, Refusal, not_run, unknown
 from damaskbay.helpers.http_exchange import (
     AnswerCutShortError,
     AnswerTooLargeError,
     Connection,
-    read_answer,
+    read_response,
     write_request,
 )
 
@@ -55,7 +55,9 @@
         for connection in idle:
             connection.close()
 
-    def send(self, address: DaemonAddress, request: DaemonRequest) -> Answer | Refusal:
+    def send(
+        self, address: DaemonAddress, request: DaemonRequest
+    ) -> Response | Refusal:
         """
         Send a request once and return the complete response.
 
@@ -71,8 +73,8 @@
 
     def _send_on(
         self, connection: Connection, request: DaemonRequest
-    ) -> Answer | Refusal:
-        connection.wrote = False
+    ) -> Response | Refusal:
+        connection.may_have_written = False
         connection.reusable = False
         try:
             connection.sock.settimeout(max(0.001, request.deadline - self._clock()))
@@ -84,7 +86,7 @@
                 request.body,
             )
             limit = self._options.max_body_bytes
-            return read_answer(connection, request.deadline, self._clock, limit)
+            return read_response(connection, request.deadline, self._clock, limit)
         except TimeoutError:
             return _refusal(connection, Reason.DEADLINE_PASSED, "no response in time")
         except (AnswerCutShortError, http.client.IncompleteRead):
@@ -98,7 +100,7 @@
 
     def _acquire(self, address: DaemonAddress, deadline: float) -> Connection | Refusal:
         while (connection := self._pop_idle(address)) is not None:
-            if connection.is_quiet():
+            if connection.is_idle():
                 return connection
             connection.close()
         wait_s = min(self._options.connect_timeout_s, deadline - self._clock())
@@ -137,6 +139,6 @@
 
 
 def _refusal(connection: Connection, reason: Reason, detail: str) -> Refusal:
-    if connection.wrote:
+    if connection.may_have_written:
         return unknown(reason, detail=detail)
     return not_run(reason, detail=detail)
--- a/damaskbay/client/request_ids.py
+++ b/damaskbay/client/request_ids.py
@@ -9,7 +9,7 @@
 
 from damaskbay.client.const import MAX_REMEMBERED_ISSUERS
 from damaskbay.client.options import DaemonAddress
-from damaskbay.core.call import Answer
+from damaskbay.core.call import Response
 from damaskbay.core.outcome import Reason, Refusal, unknown
 
 
@@ -59,7 +59,7 @@
         return self._issuer_by_id.get(request_id)
 
 
-def parse_issued_ids(response: Answer) -> IssuedIds | Refusal:
+def parse_issued_ids(response: Response) -> IssuedIds | Refusal:
     """Return the ids in a daemon's response, or a refusal if it is invalid."""
     try:
         return IssuedIds.model_validate_json(response.body)
--- a/damaskbay/core/admission/__init__.py
+++ b/damaskbay/core/admission/__init__.py
@@ -4,31 +4,31 @@
     AdmissionController,
     AdmissionOptions,
     Decision,
-    Refuse,
-    Start,
+    RefuseDecision,
+    StartDecision,
 )
 from damaskbay.core.admission.level import OPEN_LEVEL, pass_share
 from damaskbay.core.admission.limit import (
     AimdLimit,
+    CallSample,
     ConcurrencyLimit,
     FixedLimit,
     GradientLimit,
-    Sample,
 )
-from damaskbay.core.admission.queue import Waiting
+from damaskbay.core.admission.queue import PendingCall
 
 __all__ = [
     "OPEN_LEVEL",
     "AdmissionController",
     "AdmissionOptions",
     "AimdLimit",
+    "CallSample",
     "ConcurrencyLimit",
     "Decision",
     "FixedLimit",
     "GradientLimit",
-    "Refuse",
-    "Sample",
-    "Start",
-    "Waiting",
+    "PendingCall",
+    "RefuseDecision",
+    "StartDecision",
     "pass_share",
 ]
--- a/damaskbay/core/admission/controller.py
+++ b/damaskbay/core/admission/controller.py
@@ -18,8 +18,8 @@
 )
 from damaskbay.core.admission.latency import LatencyEstimate
 from damaskbay.core.admission.level import LevelController
-from damaskbay.core.admission.limit import ConcurrencyLimit, GradientLimit, Sample
-from damaskbay.core.admission.queue import QueueEntry, Waiting, WaitingQueue
+from damaskbay.core.admission.limit import CallSample, ConcurrencyLimit, GradientLimit
+from damaskbay.core.admission.queue import PendingCall, QueueEntry, WaitingQueue
 from damaskbay.core.call import CallContext
 from damaskbay.core.outcome import Reason, Refusal, not_run
 
@@ -52,21 +52,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class StartDecision:
     """Decision to send the call to the backend server now."""
 
     ticket: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class RefuseDecision:
     """Decision to refuse the call, which has not run."""
 
     ticket: int
     refusal: Refusal
 
 
-Decision = Start | Refuse
+Decision = StartDecision | RefuseDecision
 
 
 class AdmissionController:
@@ -121,13 +121,13 @@
         """Return whether a new call would start immediately."""
         return not self._queue and self._has_free_slot()
 
-    def offer(self, item: Waiting, now: float) -> tuple[Decision, ...]:
+    def offer(self, item: PendingCall, now: float) -> tuple[Decision, ...]:
         """Request admission of a call."""
         context = item.context
         self._level.record_arrival(context.priority_rank)
         if self.has_room():
             decision = self._start_or_refuse(item, now)
-            if isinstance(decision, Start):
+            if isinstance(decision, StartDecision):
                 rank, workspace = context.priority_rank, context.workspace
                 self._queue.charge_unqueued(rank, workspace, item.weight)
             self._level.update(now)
@@ -137,7 +137,9 @@
         self._queue.push(QueueEntry(item, now, wait_until))
         return self._process_queue(now)
 
-    def finish(self, ticket: int, sample: Sample, now: float) -> tuple[Decision, ...]:
+    def finish(
+        self, ticket: int, sample: CallSample, now: float
+    ) -> tuple[Decision, ...]:
         """Record the end of a started call; ignore an unknown or ended ticket."""
         if ticket not in self._running:
             return ()
@@ -151,7 +153,7 @@
             )
         return self._process_queue(now)
 
-    def nested_began(self, ticket: int, now: float) -> tuple[Decision, ...]:
+    def record_nested_start(self, ticket: int, now: float) -> tuple[Decision, ...]:
         """
         Record that a running call waits for nested calls.
 
@@ -162,7 +164,7 @@
             self._waiting_for_nested.add(ticket)
         return self._process_queue(now)
 
-    def nested_ended(self, ticket: int, now: float) -> tuple[Decision, ...]:
+    def record_nested_end(self, ticket: int, now: float) -> tuple[Decision, ...]:
         """Record that a running call no longer waits for nested calls."""
         self._waiting_for_nested.discard(ticket)
         return self._process_queue(now)
@@ -230,23 +232,23 @@
     def _decide_next_queued(self, now: float) -> Decision:
         entry = self._queue.next_to_start(now)
         decision = self._start_or_refuse(entry.item, now)
-        if isinstance(decision, Start):
+        if isinstance(decision, StartDecision):
             self._queue.remove_started(entry, now)
         else:
             self._queue.remove(entry.item.ticket)
         return decision
 
-    def _start_or_refuse(self, item: Waiting, now: float) -> Decision:
+    def _start_or_refuse(self, item: PendingCall, now: float) -> Decision:
         """Start a call in a free slot, or refuse it if it can't meet its deadline."""
         refusal = self._expired_refusal(item, now) or self._too_short_refusal(item, now)
         if refusal is not None:
             self._count_refusal(now)
-            return Refuse(item.ticket, refusal)
+            return RefuseDecision(item.ticket, refusal)
         self._running[item.ticket] = item.context
         self._level.record_start()
-        return Start(item.ticket)
+        return StartDecision(item.ticket)
 
-    def _expired_refusal(self, item: Waiting, now: float) -> Refusal | None:
+    def _expired_refusal(self, item: PendingCall, now: float) -> Refusal | None:
         if now >= item.context.deadline:
             return not_run(Reason.DEADLINE_PASSED)
         return None
@@ -257,7 +259,7 @@
             return None
         return self._capacity_refusal(Reason.OVERLOADED)
 
-    def _too_short_refusal(self, item: Waiting, now: float) -> Refusal | None:
+    def _too_short_refusal(self, item: PendingCall, now: float) -> Refusal | None:
         """
         Return a refusal for a call that is unlikely to finish before its deadline.
 
@@ -286,12 +288,14 @@
             estimate = self._latency_by_route_and_rank[key] = LatencyEstimate(quantile)
         return estimate
 
-    def _refuse(self, entry: QueueEntry, refusal: Refusal, now: float) -> Refuse:
+    def _refuse(
+        self, entry: QueueEntry, refusal: Refusal, now: float
+    ) -> RefuseDecision:
         self._queue.remove(entry.item.ticket)
         if refusal.reason is Reason.QUEUE_FULL:
             self._level.record_refusal()
         self._count_refusal(now)
-        return Refuse(entry.item.ticket, refusal)
+        return RefuseDecision(entry.item.ticket, refusal)
 
     def _count_refusal(self, now: float) -> None:
         """Add one to the count of recent refusals, which halves every second."""
--- a/damaskbay/core/admission/limit.py
+++ b/damaskbay/core/admission/limit.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sample:
+class CallSample:
     """
     Result of one admitted call at the backend server, times in seconds.
 
@@ -56,7 +56,7 @@
         """Change the maximum of the limit."""
         ...
 
-    def observe(self, sample: Sample, running: int, now: float) -> None:
+    def observe(self, sample: CallSample, running: int, now: float) -> None:
         """Update from an ended call; `running` is the concurrency including it."""
         ...
 
@@ -75,7 +75,7 @@
         """Change the number of slots."""
         self._slots = slots
 
-    def observe(self, sample: Sample, running: int, now: float) -> None:
+    def observe(self, sample: CallSample, running: int, now: float) -> None:
         """Ignore the sample."""
 
 
@@ -95,7 +95,7 @@
     sum_running: int = 0
     max_running: int = 0
 
-    def add(self, sample: Sample, running: int) -> None:
+    def add(self, sample: CallSample, running: int) -> None:
         self.count += 1
         self.failed += 0 if sample.succeeded else 1
         self.latencies_s.append(sample.own_s)
@@ -139,7 +139,7 @@
         self._slots = slots
         self._set_limit(self._limit)
 
-    def observe(self, sample: Sample, running: int, now: float) -> None:
+    def observe(self, sample: CallSample, running: int, now: float) -> None:
         """Update from an ended call; `running` is the concurrency including it."""
         if sample.cancelled or now < self._window.since:
             return
--- a/damaskbay/core/admission/queue.py
+++ b/damaskbay/core/admission/queue.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class PendingCall:
     """
     A call that requests admission.
 
@@ -27,7 +27,7 @@
 class QueueEntry:
     """A queued call with its arrival time and the end of its allowed wait."""
 
-    item: Waiting
+    item: PendingCall
     arrived_at: float
     wait_until: float
 
--- a/damaskbay/core/at_most_once.py
+++ b/damaskbay/core/at_most_once.py
@@ -12,7 +12,7 @@
     parse_request_id,
     sign_request_id,
 )
-from damaskbay.core.call import Answer
+from damaskbay.core.call import Response
 from damaskbay.core.outcome import Reason, Refusal, not_run, unknown
 from damaskbay.ports.peer import PeerAddress
 
@@ -56,7 +56,7 @@
 class _Record:
     fingerprint: bytes
     state: _State
-    result: Answer | Refusal | None = None
+    result: Response | Refusal | None = None
 
 
 class RequestOwner:
@@ -107,7 +107,7 @@
 
     def begin(
         self, request_id: str, fingerprint: bytes, now: float
-    ) -> Run | Answer | Refusal:
+    ) -> Run | Response | Refusal:
         """
         Decide whether one attempt of a request runs.
 
@@ -132,9 +132,9 @@
             return Run(request_id)
         return _result_for_retry(record)
 
-    def recall(
+    def result_for_retry(
         self, request_id: str, fingerprint: bytes, now: float
-    ) -> Answer | Refusal | None:
+    ) -> Response | Refusal | None:
         """
         Return the result for a retry without starting a run.
 
@@ -155,7 +155,7 @@
             else _refuse_other_request()
         )
 
-    def finish(self, request_id: str, result: Answer | Refusal, now: float) -> None:
+    def finish(self, request_id: str, result: Response | Refusal, now: float) -> None:
         """Store the result of a run for its retries."""
         ref = parse_request_id(self._secrets, request_id)
         if isinstance(ref, Refusal) or self._check_owner_and_age(ref, now) is not None:
@@ -229,7 +229,9 @@
         del self._records_by_sequence[sequence]
         self._drop_response(sequence)
 
-    def _store_response(self, sequence: int, record: _Record, response: Answer) -> None:
+    def _store_response(
+        self, sequence: int, record: _Record, response: Response
+    ) -> None:
         size = _stored_bytes(response)
         if size > self.options.max_response_bytes:
             return
@@ -251,7 +253,7 @@
     )
 
 
-def _result_for_retry(record: _Record) -> Answer | Refusal:
+def _result_for_retry(record: _Record) -> Response | Refusal:
     """Return the result for a retry of a request that is running or has run."""
     if record.state is _State.RUNNING:
         return unknown(Reason.ALREADY_RUNNING, detail="the request is running")
@@ -262,7 +264,7 @@
     return record.result
 
 
-def _stored_bytes(response: Answer) -> int:
+def _stored_bytes(response: Response) -> int:
     headers = sum(
         len(name) + len(value) + _HEADER_OVERHEAD_BYTES
         for name, value in response.headers
--- a/damaskbay/core/call.py
+++ b/damaskbay/core/call.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """One complete HTTP response; a truncated body never becomes an Answer."""
 
     status: int
@@ -42,8 +42,8 @@
     is sent to other processes. `priority_rank` 0 is the most important. `depth` is
     0 for the root. `retry_tokens` were moved to this call and are either spent by
     it or returned, never copied. `objective_s` is the latency objective in seconds.
-    `resent` marks a retry, `under_resent` a call nested below a retry; the receiving
-    server treats both as retries.
+    `is_retry` marks a retry, `is_nested_in_retry` a call nested below a retry; the
+    receiving server treats both as retries.
     """
 
     call_id: str
@@ -59,8 +59,8 @@
     config_version: int = 0
     key_digest: str | None = None
     objective_s: float | None = None
-    resent: bool = False
-    under_resent: bool = False
+    is_retry: bool = False
+    is_nested_in_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +75,7 @@
     slot. `nested_failed` means that the server failed after a nested call failed.
     """
 
-    result: Answer | Refusal
+    result: Response | Refusal
     attempts: int = 1
     retry_tokens_left: int = 0
     admission_level: int | None = None
--- a/damaskbay/core/dissemination/freshness.py
+++ b/damaskbay/core/dissemination/freshness.py
@@ -31,14 +31,14 @@
         self.proven_at = _NEVER
         self._outage_at = _NEVER
 
-    def prove(self, proof: Proof, held_version: int) -> bool:
+    def record_proof(self, proof: Proof, held_version: int) -> bool:
         """Record a proof; return False if it is for a version above the active one."""
         if proof.version > held_version:
             return False
         self.proven_at = max(self.proven_at, proof.at)
         return True
 
-    def note_outage(self, at: float) -> None:
+    def record_outage(self, at: float) -> None:
         """Record that at time `at` no failure domain reached the platform."""
         self._outage_at = max(self._outage_at, at)
 
@@ -53,7 +53,7 @@
         return now - self._outage_at
 
 
-class ReachBoard:
+class PlatformReachability:
     """Replies of remote failure domains on whether they reach the platform."""
 
     def __init__(self, *, outage_after_s: float, valid_s: float) -> None:
@@ -61,11 +61,13 @@
         self._valid_s = valid_s
         self._reply_by_domain: dict[str, tuple[float, float | None]] = {}
 
-    def heard(self, domain: str, asked_at: float, proof_age_s: float | None) -> None:
+    def record_status(
+        self, domain: str, asked_at: float, proof_age_s: float | None
+    ) -> None:
         """Record the reply of one remote domain."""
         self._reply_by_domain[domain] = (asked_at, proof_age_s)
 
-    def outage_for_all(
+    def all_domains_report_outage(
         self, domains: Iterable[str], now: float, *, proven_at: float
     ) -> bool:
         """
@@ -80,7 +82,9 @@
         since = max(now - self._valid_s, proven_at + self._outage_after_s)
         return all(self._reports_outage(domain, since) for domain in domains)
 
-    def unreachable(self, domains: Iterable[str], now: float) -> tuple[str, ...]:
+    def unresponsive_domains(
+        self, domains: Iterable[str], now: float
+    ) -> tuple[str, ...]:
         """Return the domains without a reply to a request of the last `valid_s`."""
         since = now - self._valid_s
         return tuple(domain for domain in domains if not self._replied(domain, since))
--- a/damaskbay/core/dissemination/holder.py
+++ b/damaskbay/core/dissemination/holder.py
@@ -14,10 +14,10 @@
 )
 
 
-class Offer(Enum):
+class OfferResult(Enum):
     """Result of offering a configuration set."""
 
-    TAKEN = "taken"
+    ACTIVATED = "taken"
     OLD = "old"
     """The version is not above the active one."""
 
@@ -28,7 +28,7 @@
     """The set is rejected and the active one stays; `problem` gives the reason."""
 
 
-class Holder:
+class ActiveConfig:
     """Active configuration set of a daemon, and the previous one for deltas."""
 
     def __init__(self) -> None:
@@ -38,34 +38,34 @@
         self.problem = ""
         self._previous: Document | None = None
 
-    def offer(self, version: int, document: Document) -> Offer:
+    def offer(self, version: int, document: Document) -> OfferResult:
         """Activate a complete set that is already checked, if its version is higher."""
         if version <= self.version:
-            return Offer.OLD
+            return OfferResult.OLD
         self._previous = self.document
         self.version = version
         self.document = document
         self.config = build(document, version)
         self.problem = ""
-        return Offer.TAKEN
+        return OfferResult.ACTIVATED
 
-    def offer_push(self, push: Push) -> Offer:
+    def offer_push(self, push: Push) -> OfferResult:
         """Activate the set that results from a pushed delta."""
         if push.version <= self.version:
-            return Offer.OLD
+            return OfferResult.OLD
         if self.document is None:
-            return Offer.OTHER_BASE
+            return OfferResult.OTHER_BASE
         document = apply_delta(self.document, push.delta)
         if not isinstance(document, DeltaFailure):
             return self.offer(push.version, document)
         if document.problem is DeltaProblem.OTHER_BASE:
-            return Offer.OTHER_BASE
+            return OfferResult.OTHER_BASE
         return self._reject(push.version, document.detail)
 
-    def offer_parts(self, parts: Parts) -> Offer:
+    def offer_parts(self, parts: Parts) -> OfferResult:
         """Activate the set that results from pulled parts."""
         if parts.version <= self.version:
-            return Offer.OLD
+            return OfferResult.OLD
         document = join_parts(self.document, parts)
         if isinstance(document, str):
             return self._reject(parts.version, document)
@@ -87,6 +87,6 @@
             return None
         return missing_parts(self.document, self.version, known)
 
-    def _reject(self, version: int, detail: str) -> Offer:
+    def _reject(self, version: int, detail: str) -> OfferResult:
         self.problem = f"version {version} refused: {detail}"
-        return Offer.INVALID
+        return OfferResult.INVALID
--- a/damaskbay/core/dissemination/lease.py
+++ b/damaskbay/core/dissemination/lease.py
@@ -13,7 +13,7 @@
         self._usable_s = lease_s - margin_s
         self._valid_until: float | None = None
 
-    def granted(self, asked_at: float) -> None:
+    def record_grant(self, asked_at: float) -> None:
         """Record that the request sent at `asked_at` was granted."""
         self._valid_until = asked_at + self._usable_s
 
@@ -21,6 +21,6 @@
         """Release the lease locally."""
         self._valid_until = None
 
-    def holds(self, now: float) -> bool:
+    def is_held(self, now: float) -> bool:
         """Return whether the lease is held, so that no other daemon can hold it."""
         return self._valid_until is not None and now < self._valid_until
--- a/damaskbay/core/dissemination/options.py
+++ b/damaskbay/core/dissemination/options.py
@@ -14,12 +14,12 @@
     daemon polls its parent in a tree with a fanout of `poll_fanout`, or, one time in
     `random_poll_every`, a random daemon. A poll without a reply fails after
     `poll_timeout_s`. After an invalid set was pulled, pulls pause for
-    `refused_pause_s`.
+    `rejected_set_pause_s`.
 
     The `backups` highest-ranked daemons, which include the relays, are polled in
     place of a missing or unresponsive parent. Without a proof for `outage_after_s`,
     they poll the remote failure domains, whose replies are valid for
-    `reach_valid_s`.
+    `reachability_valid_s`.
     """
 
     relays: int = 2
@@ -39,5 +39,5 @@
     lease_timeout_s: float = 2.0
     outage_after_s: float = 1.5
     outage_valid_s: float = 3.0
-    reach_valid_s: float = 3.0
-    refused_pause_s: float = 5.0
+    reachability_valid_s: float = 3.0
+    rejected_set_pause_s: float = 5.0
--- a/damaskbay/core/dissemination/order.py
+++ b/damaskbay/core/dissemination/order.py
@@ -27,14 +27,14 @@
 T = TypeVar("T", bound=Ranked)
 
 
-def rank(members: Iterable[T], purpose: str) -> tuple[T, ...]:
+def rank_by_rendezvous_hash(members: Iterable[T], purpose: str) -> tuple[T, ...]:
     """Return the members by rendezvous hash for this purpose, highest first."""
     return tuple(
         sorted(members, key=lambda item: _hash_weight(item, purpose), reverse=True)
     )
 
 
-class FleetOrder:
+class MemberOrder:
     """Leaders and tree positions of a tuple of members sorted by instance."""
 
     def __init__(self, own: str, purpose: str, leaders: int) -> None:
@@ -50,7 +50,9 @@
         if members is self._members:
             return
         self._members = members
-        self.leaders = rank(members, self._purpose)[: self._leader_count]
+        self.leaders = rank_by_rendezvous_hash(members, self._purpose)[
+            : self._leader_count
+        ]
         names = enumerate(member.instance for member in members)
         self._index_by_instance = {name: index for index, name in names}
 
@@ -60,7 +62,7 @@
         return self._members
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Return whether this daemon is one of the leaders."""
         return any(member.instance == self._local_instance for member in self.leaders)
 
--- a/damaskbay/core/edge.py
+++ b/damaskbay/core/edge.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EdgeRoom:
+class EdgeConcurrencyLimit:
     """
     Concurrency limit of the caller-facing listener, by priority rank.
 
--- a/damaskbay/core/freshness.py
+++ b/damaskbay/core/freshness.py
@@ -7,7 +7,7 @@
 RETRY_AFTER_S = 2.0
 
 
-def may_serve(route: Route, state: ConfigState, now: float) -> Refusal | None:
+def refuse_unproven(route: Route, state: ConfigState, now: float) -> Refusal | None:
     """
     Refuse a call if the last proof is too old for the route; otherwise return None.
 
@@ -15,7 +15,10 @@
     published, so the active one is still the newest and nothing is refused. `now`
     is in seconds of the monotonic clock that `state.proven_at` uses.
     """
-    if route.when_unproven is WhenUnproven.SERVE or state.outage_for_all:
+    if (
+        route.when_unproven is WhenUnproven.SERVE
+        or state.platform_unreachable_everywhere
+    ):
         return None
     age_s = now - state.proven_at
     if age_s <= route.unproven_after_s:
--- a/damaskbay/core/identify.py
+++ b/damaskbay/core/identify.py
@@ -83,7 +83,7 @@
     return key
 
 
-def still_allowed(config: ConfigSet, context: CallContext) -> Refusal | None:
+def refuse_withdrawn(config: ConfigSet, context: CallContext) -> Refusal | None:
     """Refuse a waiting call if its key, workspace or route has been withdrawn."""
     if context.route not in config.routes_by_name:
         return not_run(Reason.NO_ROUTE, detail="the route was withdrawn")
--- a/damaskbay/core/membership/contacts.py
+++ b/damaskbay/core/membership/contacts.py
@@ -30,7 +30,7 @@
     gossip: PeerAddress
 
     @property
-    def place(self) -> tuple[str, int]:
+    def key(self) -> tuple[str, int]:
         """Return the unique key of the contact: failure domain and slot."""
         return (self.failure_domain, self.slot)
 
@@ -39,7 +39,7 @@
 _LIST_ADAPTER: TypeAdapter[list[_ContactValues]] = TypeAdapter(list[_ContactValues])
 
 
-class ContactBook:
+class ContactList:
     """
     Newest snapshot of the contacts of all failure domains.
 
@@ -51,14 +51,14 @@
         self._contacts: tuple[Contact, ...] = ()
         self._digest = b""
 
-    def take(self, contacts: Iterable[Contact]) -> None:
+    def update(self, contacts: Iterable[Contact]) -> None:
         """
         Replace all contacts if the snapshot is newer than the current one.
 
         The snapshot with the highest revision is the newer one, since the platform
         increases the revision with every write and contacts are renewed regularly.
         """
-        snapshot = tuple(sorted(contacts, key=lambda item: item.place))
+        snapshot = tuple(sorted(contacts, key=lambda item: item.key))
         if _newest_revision(snapshot) <= _newest_revision(self._contacts):
             return
         self._contacts = snapshot
--- a/damaskbay/core/membership/directory.py
+++ b/damaskbay/core/membership/directory.py
@@ -16,7 +16,7 @@
         self.revision = 0
         self._by_pool: dict[str, int] = {}
 
-    def touch(self, pools: Iterable[str]) -> None:
+    def mark_changed(self, pools: Iterable[str]) -> None:
         """Record that the servers of some pools changed."""
         for pool in pools:
             self.revision += 1
@@ -62,13 +62,13 @@
             if not found:
                 del by_pool[pool]
             changed.append(pool)
-        self.revisions.touch(changed)
+        self.revisions.mark_changed(changed)
         return tuple(changed)
 
     def drop(self, domain: str) -> tuple[str, ...]:
         """Remove one domain; return the pools that changed."""
         pools = tuple(self._entries_by_domain.pop(domain, {}))
-        self.revisions.touch(pools)
+        self.revisions.mark_changed(pools)
         return pools
 
     def entries(self, pool: str) -> tuple[MemberEntry, ...]:
--- a/damaskbay/core/membership/exchange.py
+++ b/damaskbay/core/membership/exchange.py
@@ -4,12 +4,12 @@
 from dataclasses import dataclass
 from random import Random
 
-from damaskbay.core.dissemination.order import FleetOrder
-from damaskbay.core.membership.contacts import ContactBook
+from damaskbay.core.dissemination.order import MemberOrder
+from damaskbay.core.membership.contacts import ContactList
 from damaskbay.core.membership.directory import PoolRevisions, RemoteServers, sample
 from damaskbay.core.membership.entry import MemberEntry
 from damaskbay.core.membership.options import MembershipOptions
-from damaskbay.core.membership.sync import AskServers, Servers
+from damaskbay.core.membership.sync import Servers, ServersRequest
 from damaskbay.core.membership.wire import pack_entries, unpack_entries
 from damaskbay.ports.peer import PeerAddress
 
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class _Subscriber:
-    request: AskServers
+    request: ServersRequest
     sent_revision: int
     expires_at: float
 
@@ -39,12 +39,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class PendingRequest:
     """A request to send; `domain` is that of the daemon at `address`."""
 
     domain: str
     address: PeerAddress
-    ask: AskServers
+    ask: ServersRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,8 +68,8 @@
         self,
         own: MemberEntry,
         own_servers: Callable[[str], Iterable[MemberEntry]],
-        order: FleetOrder,
-        book: ContactBook,
+        order: MemberOrder,
+        book: ContactList,
         options: MembershipOptions,
         rng: Random,
     ) -> None:
@@ -87,29 +87,33 @@
         self._last_reply_by_domain: dict[str, _LastReply] = {}
         self._subscriber_by_address: dict[PeerAddress, _Subscriber] = {}
 
-    def want(self, pools: Iterable[str], now: float) -> None:
+    def record_wanted_pools(self, pools: Iterable[str], now: float) -> None:
         """Record pools that calls go to; servers of new pools are requested at once."""
         for pool in pools:
             if pool not in self._wanted_until_by_pool:
                 self._next_request_at = now
                 self._evict_wanted_pool()
-                if not self._order.leads:
+                if not self._order.is_leader:
                     self._last_reply_by_domain.pop(self._own.failure_domain, None)
             self._wanted_until_by_pool[pool] = now + self._options.wanted_pool_s
 
-    def questions(self, now: float) -> list[Question]:
+    def due_requests(self, now: float) -> list[PendingRequest]:
         """Return the requests to send now; empty until the next period begins."""
         if now < self._next_request_at:
             return []
         jitter = self._rng.uniform(0.8, 1.2)
-        options, leads = self._options, self._order.leads
-        period_s = options.summary_period_s if leads else options.question_period_s
+        options, leads = self._options, self._order.is_leader
+        period_s = (
+            options.delegate_request_period_s
+            if leads
+            else options.member_request_period_s
+        )
         self._next_request_at = now + period_s * jitter
         if leads:
             return self._requests_to_domains()
         return self._requests_to_delegate(now)
 
-    def answer(self, request: AskServers, now: float) -> Servers:
+    def handle_request(self, request: ServersRequest, now: float) -> Servers:
         """Reply to a request and subscribe its sender to changes."""
         revisions = self._revisions_for(request)
         since = request.since if request.source == self._source_id else 0
@@ -121,7 +125,7 @@
             )
         return self._servers_since(request, since)
 
-    def tellings(self, now: float) -> list[ServersUpdate]:
+    def due_updates(self, now: float) -> list[ServersUpdate]:
         """Return the changes since the last message to each subscriber."""
         updates = []
         for address, subscriber in list(self._subscriber_by_address.items()):
@@ -137,7 +141,9 @@
                 updates.append(ServersUpdate(address, servers))
         return updates
 
-    def take(self, servers: Servers, now: float, *, answered: bool) -> tuple[str, ...]:
+    def apply_servers(
+        self, servers: Servers, now: float, *, answered: bool
+    ) -> tuple[str, ...]:
         """
         Apply a reply or an unrequested update; return the pools that changed.
 
@@ -157,15 +163,15 @@
             return self.remote.put(domain, servers.pools, entries, complete=complete)
         return self._apply_delegate_servers(servers.pools, entries)
 
-    def lost(self, domain: str, now: float) -> None:
+    def request_failed(self, domain: str, now: float) -> None:
         """Switch to another contact of a domain after a request failed."""
         self._last_reply_by_domain.setdefault(domain, _LastReply()).failed_contacts += 1
-        retry_at = now + self._options.summary_period_s
+        retry_at = now + self._options.delegate_request_period_s
         self._next_request_at = min(self._next_request_at, retry_at)
 
-    def drop_silent(self, now: float) -> tuple[str, ...]:
+    def drop_unresponsive(self, now: float) -> tuple[str, ...]:
         """Remove the servers of unresponsive domains; return the pools that changed."""
-        if not self._order.leads:
+        if not self._order.is_leader:
             return ()
         changed: tuple[str, ...] = ()
         for domain in self.remote.domains():
@@ -177,7 +183,7 @@
                 del self._last_reply_by_domain[domain]
         return changed
 
-    def _requests_to_domains(self) -> list[Question]:
+    def _requests_to_domains(self) -> list[PendingRequest]:
         """Return a request to one contact of each remote domain, for all its pools."""
         by_domain = self._book.addresses_by_domain
         return [
@@ -186,7 +192,7 @@
             if domain != self._own.failure_domain
         ]
 
-    def _requests_to_delegate(self, now: float) -> list[Question]:
+    def _requests_to_delegate(self, now: float) -> list[PendingRequest]:
         """Return a request to a local delegate for the pools that this daemon needs."""
         by_pool = self._wanted_until_by_pool
         for pool in [pool for pool, until in by_pool.items() if until <= now]:
@@ -199,10 +205,10 @@
 
     def _request_to(
         self, domain: str, addresses: tuple[PeerAddress, ...], pools: tuple[str, ...]
-    ) -> Question:
+    ) -> PendingRequest:
         own = self._own
         last_reply = self._last_reply_by_domain.setdefault(domain, _LastReply())
-        request = AskServers(
+        request = ServersRequest(
             own.failure_domain,
             own.address,
             pools,
@@ -210,13 +216,13 @@
             last_reply.revision,
         )
         index = (own.address.port + last_reply.failed_contacts) % len(addresses)
-        return Question(domain, addresses[index], request)
+        return PendingRequest(domain, addresses[index], request)
 
-    def _revisions_for(self, request: AskServers) -> PoolRevisions:
+    def _revisions_for(self, request: ServersRequest) -> PoolRevisions:
         is_local = request.failure_domain == self._own.failure_domain
         return self.remote.revisions if is_local else self.own_revisions
 
-    def _servers_since(self, request: AskServers, since: int) -> Servers:
+    def _servers_since(self, request: ServersRequest, since: int) -> Servers:
         revisions = self._revisions_for(request)
         pools = revisions.since(since, among=request.pools)
         if request.failure_domain != self._own.failure_domain:
@@ -237,7 +243,7 @@
         self, pools: tuple[str, ...], entries: tuple[MemberEntry, ...]
     ) -> tuple[str, ...]:
         """Apply servers sent by a local delegate; delegates themselves ignore them."""
-        if self._order.leads:
+        if self._order.is_leader:
             return ()
         domains = {entry.failure_domain for entry in entries}
         changed: set[str] = set()
--- a/damaskbay/core/membership/options.py
+++ b/damaskbay/core/membership/options.py
@@ -24,9 +24,10 @@
     `delegates` daemons represent a failure domain. They store their addresses in the
     platform with a lease of `contact_lease_s` and read all contacts every
     `contact_period_s`. They send requests to the other domains every
-    `summary_period_s`, and send changes at once to the daemons whose last request is
-    at most `subscription_s` old. Other daemons send requests to the delegates every
-    `question_period_s`. An unresponsive domain is removed after `domain_timeout_s`.
+    `delegate_request_period_s`, and send changes at once to the daemons whose last
+    request is at most `subscription_s` old. Other daemons send requests to the
+    delegates every `member_request_period_s`. An unresponsive domain is removed after
+    `domain_timeout_s`.
     """
 
     probe_period_s: float = 1.0
@@ -48,8 +49,8 @@
     contact_period_s: float = 20.0
     contact_renew_s: float = 180.0
     contact_lease_s: float = 600.0
-    summary_period_s: float = 4.0
-    question_period_s: float = 12.0
+    delegate_request_period_s: float = 4.0
+    member_request_period_s: float = 12.0
     subscription_s: float = 40.0
     domain_timeout_s: float = 30.0
     wanted_pool_s: float = 120.0
--- a/damaskbay/core/membership/swim.py
+++ b/damaskbay/core/membership/swim.py
@@ -81,7 +81,7 @@
         self._merge_entries([self.own], now)
         return self._rumors_with(())
 
-    def leave(self, now: float) -> list[Outgoing]:
+    def announce_stop(self, now: float) -> list[Outgoing]:
         """Announce that this daemon stops."""
         version = self.own.version + 1
         self.own = replace(
@@ -101,7 +101,7 @@
         self.table.mark_changed(instance)
         return [self._probe(record.entry, now)]
 
-    def avoided(self, instance: str) -> bool:
+    def is_avoided(self, instance: str) -> bool:
         """Return whether a member gets no new calls although it may be alive."""
         record = self.table.by_instance.get(instance)
         if record is None or record.entry.status is not Status.ALIVE:
--- a/damaskbay/core/membership/sync.py
+++ b/damaskbay/core/membership/sync.py
@@ -28,7 +28,7 @@
 
 @message("membership.ask")
 @dataclass(frozen=True, slots=True)
-class AskServers:
+class ServersRequest:
     """
     Request for changed servers, and subscription to later changes.
 
--- a/damaskbay/core/membership/views.py
+++ b/damaskbay/core/membership/views.py
@@ -84,7 +84,7 @@
             for instance in instances
             if self.by_instance[instance].state is ServerState.READY
         ]
-        preferred = tuple(view for view in ready if not swim.avoided(view.instance))
+        preferred = tuple(view for view in ready if not swim.is_avoided(view.instance))
         return preferred or tuple(ready)
 
     def _refresh_members(self, changed: Iterable[str], swim: Swim) -> None:
@@ -115,7 +115,7 @@
         self._avoided_until_by_instance[instance] = until
         return (view.pool,)
 
-    def due(self, now: float) -> tuple[str, ...]:
+    def end_expired_avoidance(self, now: float) -> tuple[str, ...]:
         """End expired avoidance; return the pools of those servers."""
         ended = [
             instance
--- a/damaskbay/core/pressure.py
+++ b/damaskbay/core/pressure.py
@@ -8,7 +8,7 @@
 from damaskbay.core.outcome import Reason, Refusal, not_run
 from damaskbay.core.routing.const import (
     LEVEL_EXPIRY_S,
-    LEVEL_FRESH_S,
+    LEVEL_FULL_WEIGHT_S,
     MIN_PASS_SHARE,
 )
 from damaskbay.core.routing.demand import DemandMeter, random_retry_delay_s
@@ -32,7 +32,7 @@
     updated_at: float
 
 
-class PathLevels:
+class RouteLevels:
     """
     Recent admission level of each route, over all servers that its calls reach.
 
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         self._levels: dict[str, _Level] = {}
 
-    def heard(self, route: str, level: int | None, now: float) -> None:
+    def record_level(self, route: str, level: int | None, now: float) -> None:
         """Record the admission level that a response on a route reported."""
         if level is None:
             return
@@ -60,13 +60,13 @@
         if known is None or now - known.updated_at >= LEVEL_EXPIRY_S:
             return HIGHEST_LEVEL
         age_s = now - known.updated_at
-        if age_s <= LEVEL_FRESH_S:
+        if age_s <= LEVEL_FULL_WEIGHT_S:
             return int(known.value)
-        decay = (age_s - LEVEL_FRESH_S) / (LEVEL_EXPIRY_S - LEVEL_FRESH_S)
+        decay = (age_s - LEVEL_FULL_WEIGHT_S) / (LEVEL_EXPIRY_S - LEVEL_FULL_WEIGHT_S)
         return int(known.value + (HIGHEST_LEVEL - known.value) * decay)
 
 
-class EdgePressure:
+class EdgeLoadShedder:
     """
     Load shedding of root requests by the admission level of their route.
 
@@ -77,12 +77,12 @@
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
-        self._levels = PathLevels()
+        self._levels = RouteLevels()
         self._demand = DemandMeter()
 
-    def heard(self, route: str, level: int | None, now: float) -> None:
+    def record_level(self, route: str, level: int | None, now: float) -> None:
         """Record the admission level that a response on a route reported."""
-        self._levels.heard(route, level, now)
+        self._levels.record_level(route, level, now)
 
     def refusal(
         self, route: str, rank: int, workspace: str, weight: float, now: float
--- a/damaskbay/core/quota/demand_pool.py
+++ b/damaskbay/core/quota/demand_pool.py
@@ -18,24 +18,24 @@
     """
     The demand of a failure domain, summed over the daemons that reported.
 
-    `heard` is the number of daemons that reported, out of `daemons` that may
-    spend tokens there.
+    `reporting_daemons` is the number of daemons that reported, out of `daemons` that
+    may spend tokens there.
     """
 
     demand: Demand
-    heard: int
+    reporting_daemons: int
     daemons: int
 
     def extrapolated(self) -> Demand:
         """Return the demand with the average added for each daemon not reporting."""
-        if not self.heard or self.heard >= self.daemons:
+        if not self.reporting_daemons or self.reporting_daemons >= self.daemons:
             return self.demand
-        factor = self.daemons / self.heard
+        factor = self.daemons / self.reporting_daemons
         return {name: value * factor for name, value in self.demand.items()}
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class DemandTotals:
     """
     The result of a round of demand for one daemon.
 
@@ -83,13 +83,13 @@
         for removed in self._remote_totals.keys() - self._members.keys():
             del self._remote_totals[removed]
 
-    def reported(self, instance: str, demand: Demand) -> None:
+    def record_report(self, instance: str, demand: Demand) -> None:
         """Record the report of a daemon of the local domain for the next round."""
         self._reports[instance] = demand
 
-    def heard(self, domain: str, total: DomainTotal) -> None:
+    def record_remote_total(self, domain: str, total: DomainTotal) -> None:
         """Record the total of a remote domain, unless no daemon reported there."""
-        if total.heard > 0:
+        if total.reporting_daemons > 0:
             self._remote_totals[domain] = total
 
     def close_round(self) -> None:
@@ -102,14 +102,14 @@
         self._local_total = DomainTotal(total, heard, max(heard, size, 1))
         self._fleet_demand = self._estimate_fleet_demand()
 
-    def own_total(self) -> DomainTotal:
+    def local_total(self) -> DomainTotal:
         """Return the total of the local domain in this round, for remote domains."""
         return self._local_total
 
-    def counted(self, instance: str) -> Counted:
+    def totals_for(self, instance: str) -> DemandTotals:
         """Return the result of this round for a daemon of the local domain."""
         own = self._round_reports.get(instance, _NO_DEMAND)
-        return Counted(own, self._fleet_demand, self.daemons)
+        return DemandTotals(own, self._fleet_demand, self.daemons)
 
     def _estimate_fleet_demand(self) -> Demand:
         """
--- a/damaskbay/core/quota/shares.py
+++ b/damaskbay/core/quota/shares.py
@@ -13,7 +13,7 @@
     INITIAL_SHARE,
     RATE_OVERAGE_FRACTION,
 )
-from damaskbay.core.quota.demand_pool import Counted
+from damaskbay.core.quota.demand_pool import DemandTotals
 
 
 @dataclass(slots=True)
@@ -57,7 +57,7 @@
         self.options = options
         self._demand_by_workspace: dict[str, _DemandAverage] = {}
         self._buckets: dict[str, Bucket] = {}
-        self._counted: Counted | None = None
+        self._counted: DemandTotals | None = None
 
     def demand(self, now: float) -> dict[str, float]:
         """Return this daemon's demand in requests per second, for its next report."""
@@ -67,7 +67,7 @@
         rounded = {name: round(value, 1) for name, value in values.items()}
         return {name: value for name, value in rounded.items() if value > 0.0}
 
-    def counted(self, counted: Counted) -> None:
+    def update_totals(self, counted: DemandTotals) -> None:
         """
         Set the result of the last round.
 
--- a/damaskbay/core/quota/token_pool.py
+++ b/damaskbay/core/quota/token_pool.py
@@ -87,35 +87,35 @@
         for domain in self._domains:
             self._replied_at.setdefault(domain, now)
 
-    def reported(self, instance: str, now: float) -> None:
+    def record_report(self, instance: str, now: float) -> None:
         """Record that a daemon of the local domain relies on this pool."""
         if instance in self._members:
-            if not self.own_daemons(now):
+            if not self.local_daemons(now):
                 self._has_reports_since = now
             self._report_expires_at[instance] = now + REPORT_TTL_S
 
-    def stands_behind(
+    def record_remote_daemons(
         self, domain: str, daemons: int, answer_age_s: float, now: float
     ) -> None:
         """
         Record how many daemons rely on the relay of a remote domain.
 
-        `answer_age_s` is the time since that relay last had a reply from this one. The
+        `reply_age_s` is the time since that relay last had a reply from this one. The
         record expires earlier by this time, since a relay without replies grants
         tokens on its own, also when only the replies are lost.
         """
         fresh_s = max(0.0, REPORT_TTL_S - answer_age_s)
         self._remote_daemons[domain] = (daemons, now + fresh_s)
 
-    def answered(self, domain: str, asked_at: float) -> None:
+    def record_reply(self, domain: str, asked_at: float) -> None:
         """Record that a remote relay replied to the request sent at `asked_at`."""
         self._replied_at[domain] = asked_at
 
-    def answer_age_s(self, domain: str, now: float) -> float:
+    def reply_age_s(self, domain: str, now: float) -> float:
         """Return the age in seconds of the last request with a reply from a relay."""
         return now - self._replied_at.get(domain, now)
 
-    def own_daemons(self, now: float) -> int:
+    def local_daemons(self, now: float) -> int:
         """Return the number of daemons of the local domain that rely on this pool."""
         return sum(
             1 for expires_at in self._report_expires_at.values() if expires_at > now
@@ -135,7 +135,7 @@
         home = self.home(workspace.name)
         granting_since = self._has_reports_since
         if home != self._local_domain:
-            fallback_s = self.answer_age_s(home, now) - LOCAL_FALLBACK_AFTER_S
+            fallback_s = self.reply_age_s(home, now) - LOCAL_FALLBACK_AFTER_S
             if fallback_s < 0.0:
                 return Grant(False, -fallback_s, -fallback_s)
             granting_since = max(granting_since, now - fallback_s)
@@ -161,7 +161,7 @@
 
     def _share(self, now: float, *, is_home: bool) -> float:
         """Return the fraction of all daemons that rely on this pool, 0 to 1."""
-        count = self.own_daemons(now)
+        count = self.local_daemons(now)
         if is_home:
             count += sum(
                 daemons
--- a/damaskbay/core/rates/bucket.py
+++ b/damaskbay/core/rates/bucket.py
@@ -16,7 +16,7 @@
     rate_millis: int
     burst_millis: int
 
-    def within(self, other: "Share") -> "Share":
+    def minimum(self, other: "Share") -> "Share":
         """Return the minimum of both shares, separately for rate and burst."""
         return Share(
             min(self.rate_millis, other.rate_millis),
--- a/damaskbay/core/rates/codec.py
+++ b/damaskbay/core/rates/codec.py
@@ -14,7 +14,7 @@
     HolderRecord,
     Holding,
 )
-from damaskbay.core.rates.names import Total
+from damaskbay.core.rates.names import BucketLimit
 
 _HolderItem = tuple[str, NonNegativeInt, NonNegativeFloat]
 _HoldingItem = tuple[
@@ -94,7 +94,7 @@
         total.burst_millis,
         total.version,
         record.spare_millis,
-        record.mark,
+        record.free_version,
         holdings,
     )
 
@@ -104,4 +104,6 @@
         holder_ids[index]: Holding(Share(rate, burst), Share(need_rate, need_burst))
         for index, rate, burst, need_rate, need_burst in item[6]
     }
-    return BucketRecord(Total(item[1], item[2], item[3]), item[4], item[5], holdings)
+    return BucketRecord(
+        BucketLimit(item[1], item[2], item[3]), item[4], item[5], holdings
+    )
--- a/damaskbay/core/rates/holder.py
+++ b/damaskbay/core/rates/holder.py
@@ -13,7 +13,7 @@
 from damaskbay.core.rates.demand import DemandEstimator
 from damaskbay.core.rates.holding import Claims, Proposal, ProposalOutcome
 from damaskbay.core.rates.ledger import GroupLedger, LedgerDraft
-from damaskbay.core.rates.names import Total, equal_limits, newer_limit
+from damaskbay.core.rates.names import BucketLimit, equal_limits, newer_limit
 from damaskbay.core.rates.options import ShareOptions
 from damaskbay.core.rates.planner import (
     Need,
@@ -23,7 +23,7 @@
 )
 from damaskbay.core.rates.view import LedgerView
 
-TotalOf = Callable[[str], Total | None]
+TotalOf = Callable[[str], BucketLimit | None]
 
 
 @dataclass(slots=True)
@@ -38,8 +38,8 @@
 
     bucket: HolderBucket
     demand: DemandEstimator
-    total: Total | None = None
-    sized_for: Total | None = None
+    total: BucketLimit | None = None
+    sized_for: BucketLimit | None = None
     unmet_by_grant: dict[str, int] = field(default_factory=dict)
     exhausted_revision: int = -1
 
@@ -54,9 +54,9 @@
 
     def __init__(self, draft: LedgerDraft) -> None:
         self.draft = draft
-        self.handed_by_bucket: dict[str, int] = {}
-        self.taken_by_bucket: dict[str, int] = {}
-        self.totals_by_bucket: dict[str, Total] = {}
+        self.released_tokens_by_bucket: dict[str, int] = {}
+        self.claimed_tokens_by_bucket: dict[str, int] = {}
+        self.totals_by_bucket: dict[str, BucketLimit] = {}
         self.is_due = False
 
 
@@ -241,7 +241,7 @@
         state = self._states_by_bucket.get(bucket)
         if state is None:
             options = self._options
-            demand = DemandEstimator(options.demand_decay_s, options.keep_decay_s, now)
+            demand = DemandEstimator(options.demand_decay_s, options.peak_decay_s, now)
             state = _BucketState(HolderBucket(NO_SHARE, 0, now), demand)
             self._states_by_bucket[bucket] = state
         return state
@@ -272,7 +272,7 @@
         return _PlannedWrite(LedgerDraft(self.view.ledger, observed_s))
 
     def _plan_total(
-        self, write: _PlannedWrite, name: str, configured: Total | None
+        self, write: _PlannedWrite, name: str, configured: BucketLimit | None
     ) -> None:
         """Update the limit in the record to the newest version known here."""
         record = write.draft.record(name)
@@ -282,7 +282,7 @@
             return
         if record is None or not equal_limits(record.total, total):
             first_tokens = not self.view.lost
-            write.draft.adopt_total(name, total, first_tokens=first_tokens)
+            write.draft.set_limit(name, total, first_tokens=first_tokens)
             write.is_due = True
         write.totals_by_bucket[name] = total
 
@@ -293,7 +293,7 @@
         state = self._states_by_bucket[name]
         record = write.draft.record(name)
         assert record is not None
-        confirmed = record.share_of(self.holder_id).within(self._confirmed_share(name))
+        confirmed = record.share_of(self.holder_id).minimum(self._confirmed_share(name))
         need = self._need(state, record.total, now)
         chosen = target_share(
             record,
@@ -304,7 +304,7 @@
         )
         target = chosen.share
         outstanding = state.bucket.outstanding * MILLIS
-        lowered = confirmed.within(
+        lowered = confirmed.minimum(
             Share(target.rate_millis, max(target.burst_millis, outstanding))
         )
         if lowered != record.share_of(self.holder_id):
@@ -317,7 +317,7 @@
         )
         if missing != NO_SHARE:
             moved, tokens = write.draft.claim(name, self.holder_id, missing)
-            write.taken_by_bucket[name] = tokens
+            write.claimed_tokens_by_bucket[name] = tokens
             write.is_due = write.is_due or moved != NO_SHARE
             has_claimed = has_claimed or moved != NO_SHARE
         state.exhausted_revision = -1 if has_claimed else self.view.revision
@@ -326,7 +326,7 @@
         if chosen.is_scarce and _differs(published, need.current):
             write.is_due = True
 
-    def _need(self, state: _BucketState, total: Total, now: float) -> Need:
+    def _need(self, state: _BucketState, total: BucketLimit, now: float) -> Need:
         demand, options = state.demand, self._options
         recent = (demand.rate_per_s(now), demand.spike_tokens(now))
         peak = (demand.peak_rate_per_s(now), demand.peak_spike_tokens(now))
@@ -354,7 +354,7 @@
         limit = min(wanted, freed / MILLIS)
         released = int(state.bucket.remove_tokens(max(0.0, limit), now) * MILLIS)
         write.draft.lower(name, self.holder_id, share, released)
-        write.handed_by_bucket[name] = released
+        write.released_tokens_by_bucket[name] = released
 
     def _propose(self, write: _PlannedWrite, sequence: int, now: float) -> Proposal:
         """Return the draft as a proposal and apply its limits to the buckets."""
@@ -364,8 +364,8 @@
             sequence,
             now,
             leaving=self._releasing,
-            handed_by_bucket=write.handed_by_bucket,
-            taken_by_bucket=write.taken_by_bucket,
+            released_tokens_by_bucket=write.released_tokens_by_bucket,
+            claimed_tokens_by_bucket=write.claimed_tokens_by_bucket,
             totals_by_bucket=write.totals_by_bucket,
         )
         self.claims.propose(proposal)
--- a/damaskbay/core/rates/holding.py
+++ b/damaskbay/core/rates/holding.py
@@ -5,7 +5,7 @@
 
 from damaskbay.core.rates.bucket import Share
 from damaskbay.core.rates.ledger import GroupLedger
-from damaskbay.core.rates.names import Total
+from damaskbay.core.rates.names import BucketLimit
 from damaskbay.core.rates.view import LedgerView
 
 
@@ -14,9 +14,9 @@
     """
     A ledger to be written, with the effects on its writer.
 
-    `handed_by_bucket` are the tokens already removed from the writer's buckets,
-    `taken_by_bucket` those to be added once the write is confirmed; both in
-    thousandths. `totals_by_bucket` are the limits that the writer's shares are
+    `released_tokens_by_bucket` are the tokens already removed from the writer's
+    buckets, `claimed_tokens_by_bucket` those to be added once the write is confirmed;
+    both in thousandths. `totals_by_bucket` are the limits that the writer's shares are
     sized for. `made_at` is a time before the write was sent, in seconds of the
     writer's monotonic clock.
     """
@@ -26,9 +26,9 @@
     sequence: int
     made_at: float
     leaving: bool = False
-    handed_by_bucket: Mapping[str, int] = field(default_factory=dict)
-    taken_by_bucket: Mapping[str, int] = field(default_factory=dict)
-    totals_by_bucket: Mapping[str, Total] = field(default_factory=dict)
+    released_tokens_by_bucket: Mapping[str, int] = field(default_factory=dict)
+    claimed_tokens_by_bucket: Mapping[str, int] = field(default_factory=dict)
+    totals_by_bucket: Mapping[str, BucketLimit] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
     """
 
     tokens_by_bucket: Mapping[str, int] = field(default_factory=dict)
-    totals_by_bucket: Mapping[str, Total] = field(default_factory=dict)
+    totals_by_bucket: Mapping[str, BucketLimit] = field(default_factory=dict)
 
 
 class Claims:
@@ -77,7 +77,7 @@
         proposal = self.open_proposal
         if proposal is None:
             return share
-        return share.within(proposal.ledger.share(bucket, self.holder_id))
+        return share.minimum(proposal.ledger.share(bucket, self.holder_id))
 
     def propose(self, proposal: Proposal) -> None:
         """Set the open proposal, which limits the shares from now on."""
@@ -86,7 +86,7 @@
     def discard(self, proposal: Proposal) -> ProposalOutcome:
         """Discard a proposal that certainly has no effect."""
         self.open_proposal = None
-        return ProposalOutcome(proposal.handed_by_bucket)
+        return ProposalOutcome(proposal.released_tokens_by_bucket)
 
     def settle(self, ledger: GroupLedger, revision: int, now: float) -> ProposalOutcome:
         """
@@ -108,10 +108,12 @@
         if own_record is None:
             return ProposalOutcome()
         if proposal.sequence != own_record.sequence:
-            return ProposalOutcome(proposal.handed_by_bucket)
+            return ProposalOutcome(proposal.released_tokens_by_bucket)
         valid_until = proposal.made_at + self._validity_s
         self.valid_until = max(self.valid_until, valid_until)
-        return ProposalOutcome(proposal.taken_by_bucket, proposal.totals_by_bucket)
+        return ProposalOutcome(
+            proposal.claimed_tokens_by_bucket, proposal.totals_by_bucket
+        )
 
     def _decided(self, proposal: Proposal, revision: int) -> bool:
         """Return whether the proposal can no longer take effect, or has done so."""
--- a/damaskbay/core/rates/ledger.py
+++ b/damaskbay/core/rates/ledger.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 
 from damaskbay.core.rates.bucket import NO_SHARE, Share
-from damaskbay.core.rates.names import Total
+from damaskbay.core.rates.names import BucketLimit
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,9 +26,9 @@
 class BucketRecord:
     """One bucket: its limit, its free tokens and the shares of its holders."""
 
-    total: Total
+    total: BucketLimit
     spare_millis: int = 0
-    mark: int = 0
+    free_version: int = 0
     holdings_by_holder: Mapping[str, Holding] = field(default_factory=dict)
 
     @property
@@ -92,7 +92,7 @@
         """Set the holder's sequence and validity."""
         self._holders_by_id[holder] = HolderRecord(sequence, validity_s)
 
-    def adopt_total(self, bucket: str, total: Total, *, first_tokens: bool) -> None:
+    def set_limit(self, bucket: str, total: BucketLimit, *, first_tokens: bool) -> None:
         """
         Set the limit of a bucket; ignore a version that is not newer.
 
@@ -117,7 +117,7 @@
         Return the moved share and the tokens (thousandths) moved with it.
         """
         record = self._accrue_free(bucket)
-        moved = wanted.within(record.free)
+        moved = wanted.minimum(record.free)
         tokens = min(moved.burst_millis, record.spare_millis)
         old = record.share_of(holder)
         share = Share(
@@ -131,7 +131,7 @@
     def lower(self, bucket: str, holder: str, share: Share, tokens: int) -> None:
         """Reduce the holder's share to `share` and free `tokens` (thousandths)."""
         record = self._accrue_free(bucket)
-        share = share.within(record.share_of(holder))
+        share = share.minimum(record.share_of(holder))
         spare = record.spare_millis + tokens
         record = self._with_share(record, holder, share)
         self._store(bucket, replace(record, spare_millis=spare))
@@ -168,7 +168,9 @@
         self._accrued_buckets.add(bucket)
         accrued = int(record.free.rate_millis * self._observed_s(bucket))
         spare = min(record.free.burst_millis, record.spare_millis + accrued)
-        record = replace(record, spare_millis=spare, mark=record.mark + 1)
+        record = replace(
+            record, spare_millis=spare, free_version=record.free_version + 1
+        )
         self._buckets_by_name[bucket] = record
         return record
 
--- a/damaskbay/core/rates/messages.py
+++ b/damaskbay/core/rates/messages.py
@@ -6,12 +6,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BucketAsk:
+class BucketRequest:
     """
     Request of a daemon for tokens of one bucket.
 
     `needed` is the number of waiting calls, `wanted` the number of tokens including
-    a prefetch, `requests` the number of calls for the bucket since the last request.
+    a prefetch, `calls` the number of calls for the bucket since the last request.
     `grant_number` is unique within the requesting daemon process.
     """
 
@@ -19,7 +19,7 @@
     grant_number: int
     needed: int
     wanted: int
-    requests: int
+    calls: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,17 +49,17 @@
 
 @message("rates.ask")
 @dataclass(frozen=True, slots=True)
-class TokenAsk:
+class TokenRequest:
     """Token requests of one daemon to one holder, with the grants that it closes."""
 
-    asks: tuple[BucketAsk, ...]
+    requests: tuple[BucketRequest, ...]
     closes: tuple[GrantClose, ...] = ()
 
 
 @message("rates.grants")
 @dataclass(frozen=True, slots=True)
 class TokenGrants:
-    """Reply to a `TokenAsk`, with one grant for each of its buckets."""
+    """Reply to a `TokenRequest`, with one grant for each of its buckets."""
 
     grants: tuple[BucketGrant, ...]
 
--- a/damaskbay/core/rates/names.py
+++ b/damaskbay/core/rates/names.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Total:
+class BucketLimit:
     """
     The fleet-wide limit of one bucket.
 
@@ -20,14 +20,16 @@
     version: int
 
 
-def newer_limit(first: Total | None, second: Total | None) -> Total | None:
+def newer_limit(
+    first: BucketLimit | None, second: BucketLimit | None
+) -> BucketLimit | None:
     """Return the limit of the newer version; the first one if versions are equal."""
     if first is None or second is None:
         return first or second
     return second if second.version > first.version else first
 
 
-def equal_limits(first: Total, second: Total) -> bool:
+def equal_limits(first: BucketLimit, second: BucketLimit) -> bool:
     """Return whether rate and burst are equal, whatever the versions."""
     return (first.rate_millis, first.burst_millis) == (
         second.rate_millis,
@@ -57,7 +59,7 @@
     return tuple(dict.fromkeys(names))
 
 
-def total_of(config: ConfigSet, bucket: str) -> Total | None:
+def total_of(config: ConfigSet, bucket: str) -> BucketLimit | None:
     """Return the limit of a bucket, or None if the configuration set lacks it."""
     kind, _, rest = bucket.partition("/")
     if kind == "w":
@@ -74,5 +76,5 @@
     return _total(limit.rate_per_s, limit.burst, config.version)
 
 
-def _total(rate_per_s: float, burst: int, version: int) -> Total:
-    return Total(int(rate_per_s * MILLIS), burst * MILLIS, version)
+def _total(rate_per_s: float, burst: int, version: int) -> BucketLimit:
+    return BucketLimit(int(rate_per_s * MILLIS), burst * MILLIS, version)
--- a/damaskbay/core/rates/node.py
+++ b/damaskbay/core/rates/node.py
@@ -14,13 +14,13 @@
 from damaskbay.core.rates.holding import Proposal
 from damaskbay.core.rates.ledger import GroupLedger
 from damaskbay.core.rates.messages import (
-    BucketAsk,
     BucketGrant,
+    BucketRequest,
     GrantClose,
-    TokenAsk,
     TokenGrants,
+    TokenRequest,
 )
-from damaskbay.core.rates.names import Total
+from damaskbay.core.rates.names import BucketLimit
 from damaskbay.core.rates.options import ShareOptions
 from damaskbay.helpers.hashing import stable_digest
 
@@ -35,7 +35,7 @@
     return _hash(f"{group}/{instance}")
 
 
-def _has_burst(total: Total | None) -> bool:
+def _has_burst(total: BucketLimit | None) -> bool:
     """Return whether the bucket exists and can ever hold a token."""
     return total is not None and total.burst_millis > 0
 
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class TokenReply:
     """Reply to the token request with this key."""
 
     key: Hashable
@@ -68,14 +68,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wrote:
+class WriteSucceeded:
     """Result of a write that succeeded."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
-class Stands:
+class StoredLedger:
     """The ledger stored in the platform; result of a read or a write conflict."""
 
     ledger: GroupLedger
@@ -92,8 +92,8 @@
     """Result of a request that may have had an effect or may still have one."""
 
 
-CallResult = Wrote | Stands | NoEffect | Unresolved
-LedgerCall = WriteLedger | ReadLedger
+LedgerResult = WriteSucceeded | StoredLedger | NoEffect | Unresolved
+LedgerRequest = WriteLedger | ReadLedger
 
 
 @dataclass(slots=True)
@@ -122,7 +122,7 @@
 
     key: Hashable
     daemon: str
-    asks: tuple[BucketAsk, ...]
+    asks: tuple[BucketRequest, ...]
     deadline: float
     grants_by_bucket: dict[str, BucketGrant] = field(default_factory=dict)
 
@@ -131,7 +131,7 @@
     """
     Holder of all groups at one daemon, without I/O of its own.
 
-    `ask` handles token requests. `calls` returns the requests to send to the
+    `request_tokens` handles token requests. `calls` returns the requests to send to the
     platform; pass each result to `call_done`. `stop` gives all shares back.
     """
 
@@ -168,14 +168,14 @@
         for item in self._groups_by_number.values():
             item.holder.rescale(total_of, now)
 
-    def ask(
+    def request_tokens(
         self,
         key: Hashable,
         daemon: str,
-        ask: TokenAsk,
+        ask: TokenRequest,
         total_of: TotalOf,
         now: float,
-    ) -> list[Answer]:
+    ) -> list[TokenReply]:
         """
         Handle a token request; keep it for a short time if a claim may help.
 
@@ -183,15 +183,17 @@
         of the buckets, nothing is granted.
         """
         self.close(daemon, ask.closes, now)
-        if not all(_has_burst(total_of(item.bucket)) for item in ask.asks):
-            empty_grants = (BucketGrant(i.bucket, i.grant_number, 0) for i in ask.asks)
-            return [Answer(key, TokenGrants(tuple(empty_grants)))]
+        if not all(_has_burst(total_of(item.bucket)) for item in ask.requests):
+            empty_grants = (
+                BucketGrant(i.bucket, i.grant_number, 0) for i in ask.requests
+            )
+            return [TokenReply(key, TokenGrants(tuple(empty_grants)))]
         deadline = now + self._options.claim_wait_s
-        pending = _PendingRequest(key, daemon, ask.asks, deadline)
-        for item in ask.asks:
+        pending = _PendingRequest(key, daemon, ask.requests, deadline)
+        for item in ask.requests:
             group = self._group(item.bucket)
             group.last_token_request_at = now
-            group.holder.count(item.bucket, item.requests, now)
+            group.holder.count(item.bucket, item.calls, now)
         return self._reply_or_keep([pending], now)
 
     def close(self, daemon: str, closes: Iterable[GrantClose], now: float) -> None:
@@ -201,14 +203,14 @@
             holder = self._group(item.bucket).holder
             holder.close(item.bucket, grant_id, item.unused, now)
 
-    def due_answers(self, now: float) -> list[Answer]:
+    def due_replies(self, now: float) -> list[TokenReply]:
         """Return the replies to waiting requests that are granted or have timed out."""
         pending, self._pending = self._pending, []
         return self._reply_or_keep(pending, now)
 
-    def calls(self, total_of: TotalOf, now: float) -> list[LedgerCall]:
+    def calls(self, total_of: TotalOf, now: float) -> list[LedgerRequest]:
         """Return the requests to the platform that are due."""
-        calls: list[LedgerCall] = []
+        calls: list[LedgerRequest] = []
         for number, group in self._groups_by_number.items():
             if group.request_in_flight or now < group.not_before:
                 continue
@@ -221,28 +223,28 @@
         return calls
 
     def call_done(
-        self, call: LedgerCall, result: CallResult, now: float
-    ) -> list[Answer]:
+        self, call: LedgerRequest, result: LedgerResult, now: float
+    ) -> list[TokenReply]:
         """Record the result of a platform request; return the replies now ready."""
         group = self._groups_by_number[call.group]
         group.request_in_flight = False
         proposal = call.proposal if isinstance(call, WriteLedger) else None
-        if isinstance(result, Stands):
+        if isinstance(result, StoredLedger):
             group.holder.settle(result.ledger, result.revision, now)
             if proposal is not None:
                 group.write_tokens += 1
                 group.not_before = now + self._rng.uniform(0, CONFLICT_DELAY_MAX_S)
-        elif isinstance(result, Wrote) and proposal is not None:
+        elif isinstance(result, WriteSucceeded) and proposal is not None:
             group.holder.write_succeeded(proposal, result.revision, now)
         elif isinstance(result, NoEffect) and proposal is not None:
             group.holder.write_failed(proposal, now)
-        if isinstance(result, (Stands, Wrote)):
+        if isinstance(result, (StoredLedger, WriteSucceeded)):
             group.must_read = False
             group.last_read_at = now
         else:
             group.must_read = group.must_read or isinstance(result, Unresolved)
             group.not_before = now + REQUEST_RETRY_DELAY_S
-        return self.due_answers(now)
+        return self.due_replies(now)
 
     def _group(self, bucket: str) -> _GroupState:
         number = group_of(bucket, self._options.groups)
@@ -254,7 +256,7 @@
 
     def _next_request(
         self, number: int, group: _GroupState, total_of: TotalOf, now: float
-    ) -> LedgerCall | None:
+    ) -> LedgerRequest | None:
         """Return the platform request that is due for a group, or None."""
         holder = group.holder
         if group.must_read:
@@ -286,13 +288,13 @@
 
     def _reply_or_keep(
         self, pending: list[_PendingRequest], now: float
-    ) -> list[Answer]:
+    ) -> list[TokenReply]:
         """Return the replies that are ready; keep the other requests pending."""
         answers = []
         for item in pending:
             if self._grant_available(item, now):
                 grants = tuple(item.grants_by_bucket[ask.bucket] for ask in item.asks)
-                answers.append(Answer(item.key, TokenGrants(grants)))
+                answers.append(TokenReply(item.key, TokenGrants(grants)))
             else:
                 self._pending.append(item)
         return answers
@@ -312,7 +314,7 @@
             is_ready = is_ready and not may_wait
         return is_ready or now >= pending.deadline or self._stopping
 
-    def _bucket_grant(self, ask: BucketAsk, count: int, now: float) -> BucketGrant:
+    def _bucket_grant(self, ask: BucketRequest, count: int, now: float) -> BucketGrant:
         """Return the grant to reply, with a retry delay if `count` is 0."""
         if count > 0:
             return BucketGrant(ask.bucket, ask.grant_number, count)
--- a/damaskbay/core/rates/options.py
+++ b/damaskbay/core/rates/options.py
@@ -32,7 +32,7 @@
     floor_share: float = const.DEFAULT_FLOOR_SHARE
     floor_idle_s: float = const.DEFAULT_FLOOR_IDLE_S
     demand_decay_s: float = const.DEFAULT_DEMAND_DECAY_S
-    keep_decay_s: float = const.DEFAULT_PEAK_DECAY_S
+    peak_decay_s: float = const.DEFAULT_PEAK_DECAY_S
     step_down_s: float = const.DEFAULT_STEP_DOWN_S
     claim_wait_s: float = const.DEFAULT_CLAIM_WAIT_S
     token_validity_s: float = const.TOKEN_VALIDITY_S
--- a/damaskbay/core/rates/planner.py
+++ b/damaskbay/core/rates/planner.py
@@ -16,7 +16,7 @@
 )
 from damaskbay.core.rates.demand import max_min_fair_shares
 from damaskbay.core.rates.ledger import BucketRecord, Holding
-from damaskbay.core.rates.names import Total
+from damaskbay.core.rates.names import BucketLimit
 from damaskbay.core.rates.options import ShareOptions
 from damaskbay.core.rates.view import LedgerView
 
@@ -39,7 +39,7 @@
 
 
 def needed_share(
-    rate_per_s: float, spike_tokens: float, total: Total, options: ShareOptions
+    rate_per_s: float, spike_tokens: float, total: BucketLimit, options: ShareOptions
 ) -> Share:
     """
     Return the share needed for a demand, with headroom, at most the limit.
--- a/damaskbay/core/rates/stock.py
+++ b/damaskbay/core/rates/stock.py
@@ -16,7 +16,7 @@
     STOCK_DECAY_S,
 )
 from damaskbay.core.rates.demand import DemandEstimator
-from damaskbay.core.rates.messages import BucketAsk, BucketGrant, GrantClose
+from damaskbay.core.rates.messages import BucketGrant, BucketRequest, GrantClose
 from damaskbay.ports.peer import PeerAddress
 
 
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Missing:
+class MissingTokens:
     """Buckets without tokens for which a request may be sent."""
 
     buckets: tuple[str, ...]
@@ -80,14 +80,16 @@
         self._stocks_by_bucket: dict[str, _BucketStock] = {}
         self._grant_number = 0
 
-    def arrive(self, buckets: tuple[str, ...], now: float) -> None:
+    def count_call(self, buckets: tuple[str, ...], now: float) -> None:
         """Count a call that needs tokens of these buckets."""
         for bucket in buckets:
             stock = self._bucket_stock(bucket, now)
             stock.unreported_calls += 1
             stock.demand.add(1, 0.0, 1.0, now)
 
-    def take(self, buckets: tuple[str, ...], now: float) -> Refusal | Missing | None:
+    def spend(
+        self, buckets: tuple[str, ...], now: float
+    ) -> Refusal | MissingTokens | None:
         """
         Spend one token of each bucket and return None, or spend nothing.
 
@@ -103,14 +105,14 @@
                 return self._refusal(stock)
             missing.append(bucket)
         if missing:
-            return Missing(tuple(missing))
+            return MissingTokens(tuple(missing))
         for bucket in buckets:
             self._spend(self._bucket_stock(bucket, now), now)
         return None
 
-    def due_asks(
+    def due_requests(
         self, waiting_by_bucket: Mapping[str, int], now: float
-    ) -> tuple[BucketAsk, ...]:
+    ) -> tuple[BucketRequest, ...]:
         """Return the token requests to send now; report each result afterwards."""
         asks = []
         for bucket, stock in self._stocks_by_bucket.items():
@@ -123,7 +125,7 @@
                 asks.append(ask)
         return tuple(asks)
 
-    def granted(
+    def add_grant(
         self,
         grant: BucketGrant,
         holder: PeerAddress | None,
@@ -157,7 +159,7 @@
         stock = self._stocks_by_bucket.get(bucket)
         return (stock.rotation + stock.holder_offset) % self._holders if stock else 0
 
-    def ask_failed(self, bucket: str, now: float) -> None:
+    def request_failed(self, bucket: str, now: float) -> None:
         """Record that a request got no reply."""
         self._bucket_stock(bucket, now).request_in_flight = False
 
@@ -202,7 +204,7 @@
 
     def _next_request(
         self, bucket: str, stock: _BucketStock, waiting: int, now: float
-    ) -> BucketAsk | None:
+    ) -> BucketRequest | None:
         """Return a request for needed tokens or a prefetch, or None if not due."""
         count = stock.count(now)
         needed = min(max(0, waiting - count), MAX_NEEDED_TOKENS)
@@ -220,7 +222,9 @@
         stock.request_in_flight = True
         stock.rotation += stock.holder_offset == 0
         wanted = min(waiting + prefetch_count - count, MAX_NEEDED_TOKENS)
-        return BucketAsk(bucket, self._grant_number, needed, wanted, unreported_calls)
+        return BucketRequest(
+            bucket, self._grant_number, needed, wanted, unreported_calls
+        )
 
     def _refusal(self, stock: _BucketStock) -> Refusal:
         reason = Reason.SHARE_UNAVAILABLE
--- a/damaskbay/core/rates/view.py
+++ b/damaskbay/core/rates/view.py
@@ -36,7 +36,9 @@
         self.revision = revision
         self.has_existed = self.has_existed or revision > 0
         self.last_contact_at = now
-        marks = {name: item.mark for name, item in ledger.buckets_by_name.items()}
+        marks = {
+            name: item.free_version for name, item in ledger.buckets_by_name.items()
+        }
         self._marks_by_bucket = _track_changes(self._marks_by_bucket, marks, now)
         sequences = {name: item.sequence for name, item in ledger.holders_by_id.items()}
         known = self._sequences_by_holder if in_contact else {}
--- a/damaskbay/core/retry/const.py
+++ b/damaskbay/core/retry/const.py
@@ -12,7 +12,7 @@
 
 OVERLOAD_STATUS = 503
 
-RETRIED_ELSEWHERE = frozenset(
+RETRYABLE_REASONS = frozenset(
     {
         Reason.OVERLOADED,
         Reason.QUEUE_FULL,
--- a/damaskbay/core/retry/decide.py
+++ b/damaskbay/core/retry/decide.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from damaskbay.core.call import Answer, CallContext, CallResult
+from damaskbay.core.call import CallContext, CallResult, Response
 from damaskbay.core.outcome import Refusal
 from damaskbay.core.retry.budget import RetryBudget
 from damaskbay.core.retry.const import (
@@ -11,7 +11,7 @@
     BACKOFF_MAX_S,
     MIN_TIME_LEFT_S,
     OVERLOAD_STATUS,
-    RETRIED_ELSEWHERE,
+    RETRYABLE_REASONS,
 )
 
 
@@ -57,11 +57,11 @@
     return Retry(delay_s, result.served_by)
 
 
-def _is_retryable(result: Answer | Refusal, context: CallContext) -> bool:
+def _is_retryable(result: Response | Refusal, context: CallContext) -> bool:
     """Return whether the call may run again, on another instance, after this result."""
-    if isinstance(result, Answer):
+    if isinstance(result, Response):
         return context.idempotent and result.status == OVERLOAD_STATUS
-    if result.reason not in RETRIED_ELSEWHERE:
+    if result.reason not in RETRYABLE_REASONS:
         return False
     return result.not_run or context.idempotent
 
--- a/damaskbay/core/retry/repeats.py
+++ b/damaskbay/core/retry/repeats.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RepeatOptions:
+class ServerRetryOptions:
     """
     Limits of the retries that one backend server receives.
 
@@ -23,25 +23,25 @@
     saved: float
 
 
-class RepeatBudget:
+class ServerRetryBudget:
     """Budget of the retries that one backend server may receive."""
 
-    def __init__(self, options: RepeatOptions) -> None:
+    def __init__(self, options: ServerRetryOptions) -> None:
         self._options = options
         self._retries_left = options.saved
 
     @property
     def left(self) -> float:
-        """Return the number of retries left; below 0 after retries by `inherited`."""
+        """Return the retries left; below 0 after `record_nested_attempt`."""
         return self._retries_left
 
-    def first(self) -> None:
+    def record_first_attempt(self) -> None:
         """Count the first attempt of a call, which adds to the budget."""
         self._retries_left = min(
             self._options.saved, self._retries_left + self._options.ratio
         )
 
-    def repeat(self, *, nested: bool) -> bool:
+    def spend(self, *, nested: bool) -> bool:
         """
         Spend one retry of the budget; return False if it must not be sent.
 
@@ -53,6 +53,6 @@
         self._retries_left -= 1.0
         return True
 
-    def inherited(self) -> None:
+    def record_nested_attempt(self) -> None:
         """Count a nested call made by a retried call; it is never refused."""
         self._retries_left -= 1.0
--- a/damaskbay/core/routing/const.py
+++ b/damaskbay/core/routing/const.py
@@ -3,9 +3,11 @@
 SLOW_START_S = 10.0
 MIN_WARMTH = 0.1
 
-LEVEL_FRESH_S = 0.25
+LEVEL_FULL_WEIGHT_S = 0.25
 LEVEL_EXPIRY_S = 0.75
-"""Age at which an admission level has no effect; it fades from LEVEL_FRESH_S on."""
+"""
+Age at which an admission level has no effect; it fades from LEVEL_FULL_WEIGHT_S on.
+"""
 
 MIN_PASS_SHARE = 0.02
 """Share of calls of a fully shed rank that pass, so that recovery is detected."""
--- a/damaskbay/core/routing/health.py
+++ b/damaskbay/core/routing/health.py
@@ -14,7 +14,7 @@
     EJECTION_JITTER_SHARE,
     EJECTION_MAX_S,
     LEVEL_EXPIRY_S,
-    LEVEL_FRESH_S,
+    LEVEL_FULL_WEIGHT_S,
     LOAD_EXPIRY_S,
     LOAD_REPLACE_AFTER_S,
     MIN_SUCCESS_SHARE,
@@ -114,11 +114,13 @@
         """Return the share of a rank's calls to let pass, 0 to 1; 1 without a level."""
         share = pass_share(self._level, rank)
         age_s = now - self._level_updated_at
-        if age_s <= LEVEL_FRESH_S:
+        if age_s <= LEVEL_FULL_WEIGHT_S:
             return share
         if age_s >= LEVEL_EXPIRY_S:
             return 1.0
-        expired_fraction = (age_s - LEVEL_FRESH_S) / (LEVEL_EXPIRY_S - LEVEL_FRESH_S)
+        expired_fraction = (age_s - LEVEL_FULL_WEIGHT_S) / (
+            LEVEL_EXPIRY_S - LEVEL_FULL_WEIGHT_S
+        )
         return share + (1.0 - share) * expired_fraction
 
     def warmth(self, view: ServerView, now: float) -> float:
--- a/damaskbay/core/routing/router.py
+++ b/damaskbay/core/routing/router.py
@@ -89,14 +89,14 @@
             self._preferred_servers(usable, context, now), context, now
         )
 
-    def started(self, instance: str, now: float) -> None:
+    def record_start(self, instance: str, now: float) -> None:
         """Record a call sent to a chosen server."""
         health = self._health_by_instance.get(instance)
         if health is not None:
             health.record_start(now)
 
-    def finished(self, instance: str, outcome: RouteOutcome, now: float) -> None:
-        """Record the end of a call; each `started` needs one."""
+    def record_end(self, instance: str, outcome: RouteOutcome, now: float) -> None:
+        """Record the end of a call; each `record_start` needs one."""
         health = self._health_by_instance.get(instance)
         if health is None:
             return
--- a/damaskbay/core/scrub.py
+++ b/damaskbay/core/scrub.py
@@ -8,7 +8,7 @@
 )
 from damaskbay.core.call import Headers, Request
 from damaskbay.core.outcome import Reason, Refusal, not_run
-from damaskbay.helpers.keys import body_holds_key, holds_key
+from damaskbay.helpers.keys import body_contains_key, contains_key
 
 _LAYER_HEADERS = frozenset(
     name.lower()
@@ -24,9 +24,9 @@
     can't be removed without changing the request, so such a request is refused.
     """
     path, separator, query = request.target.partition("?")
-    if holds_key(path, presented):
+    if contains_key(path, presented):
         return not_run(Reason.BAD_REQUEST, detail="the path contains a key")
-    if body_holds_key(request.body, presented):
+    if body_contains_key(request.body, presented):
         return not_run(Reason.BAD_REQUEST, detail="the body contains a key")
     target = path
     if separator:
@@ -37,7 +37,7 @@
 
 def _scrub_query(query: str, presented: str | None) -> str:
     items = query.split("&")
-    return "&".join(item for item in items if not holds_key(item, presented))
+    return "&".join(item for item in items if not contains_key(item, presented))
 
 
 def _scrub_headers(headers: Headers, presented: str | None) -> Headers:
@@ -45,8 +45,8 @@
         (name, value)
         for name, value in headers
         if name.lower() not in _LAYER_HEADERS
-        and not holds_key(value, presented)
-        and not holds_key(name, presented)
+        and not contains_key(value, presented)
+        and not contains_key(name, presented)
     )
 
 
--- a/damaskbay/daemon/admission.py
+++ b/damaskbay/daemon/admission.py
@@ -10,10 +10,10 @@
 from damaskbay.core.admission import (
     AdmissionController,
     AdmissionOptions,
+    CallSample,
     Decision,
-    Refuse,
-    Sample,
-    Waiting,
+    PendingCall,
+    RefuseDecision,
 )
 from damaskbay.core.call import CallContext
 from damaskbay.core.outcome import Refusal
@@ -45,17 +45,17 @@
         self._gate = gate
         self.number = number
 
-    def finish(self, sample: Sample) -> None:
+    def finish(self, sample: CallSample) -> None:
         """Release the slot of a started call."""
         self._gate.finish(self.number, sample)
 
-    def nested_began(self) -> None:
+    def record_nested_start(self) -> None:
         """Exclude this call from the limit while it waits for nested calls."""
-        self._gate.nested_began(self.number)
+        self._gate.record_nested_start(self.number)
 
-    def nested_ended(self) -> None:
+    def record_nested_end(self) -> None:
         """Count this call against the limit again after its nested calls."""
-        self._gate.nested_ended(self.number)
+        self._gate.record_nested_end(self.number)
 
     def cancel(self) -> bool:
         """
@@ -81,11 +81,11 @@
         options: AdmissionOptions,
         *,
         rng: Random,
-        still_allowed: StillAllowed = lambda context: None,
+        refuse_withdrawn: StillAllowed = lambda context: None,
         clock: Callable[[], float] = monotonic_s,
     ) -> None:
         self._clock = clock
-        self._still_allowed = still_allowed
+        self._still_allowed = refuse_withdrawn
         self._controller = AdmissionController(options, rng, clock())
         self._lock = threading.Lock()
         self._submitted_by_number: dict[int, _Submitted] = {}
@@ -105,12 +105,12 @@
             self._last_number += 1
             number = self._last_number
             self._submitted_by_number[number] = _Submitted(context, start, refuse)
-            item = Waiting(number, context, weight, cost)
+            item = PendingCall(number, context, weight, cost)
             callbacks = self._callbacks_for(self._controller.offer(item, self._clock()))
         self._run_callbacks(callbacks)
         return Ticket(self, number)
 
-    def finish(self, number: int, sample: Sample) -> None:
+    def finish(self, number: int, sample: CallSample) -> None:
         """Release the slot of a started call and start waiting calls."""
         with self._lock:
             callbacks = self._callbacks_for(
@@ -118,19 +118,19 @@
             )
         self._run_callbacks(callbacks)
 
-    def nested_began(self, number: int) -> None:
+    def record_nested_start(self, number: int) -> None:
         """Record that a started call waits for its nested calls."""
         with self._lock:
             callbacks = self._callbacks_for(
-                self._controller.nested_began(number, self._clock())
+                self._controller.record_nested_start(number, self._clock())
             )
         self._run_callbacks(callbacks)
 
-    def nested_ended(self, number: int) -> None:
+    def record_nested_end(self, number: int) -> None:
         """Record that a started call no longer waits for nested calls."""
         with self._lock:
             callbacks = self._callbacks_for(
-                self._controller.nested_ended(number, self._clock())
+                self._controller.record_nested_end(number, self._clock())
             )
         self._run_callbacks(callbacks)
 
@@ -187,7 +187,7 @@
             submitted = self._submitted_by_number.pop(decision.ticket, None)
             if submitted is None:
                 continue
-            if isinstance(decision, Refuse):
+            if isinstance(decision, RefuseDecision):
                 callbacks.append(_bind_refuse(submitted.refuse, decision.refusal))
             else:
                 callbacks.append(self._bind_start(decision.ticket, submitted))
@@ -200,7 +200,7 @@
                 submitted.start()
                 return []
             submitted.refuse(refusal)
-            no_sample = Sample(0.0, cancelled=True)  # the call did not run
+            no_sample = CallSample(0.0, cancelled=True)  # the call did not run
             with self._lock:
                 decisions = self._controller.finish(number, no_sample, self._clock())
                 return self._callbacks_for(decisions)
--- a/damaskbay/daemon/app.py
+++ b/damaskbay/daemon/app.py
@@ -19,7 +19,7 @@
 from damaskbay.adapters.telemetry.client import Telemetry
 from damaskbay.core.admission import AdmissionOptions
 from damaskbay.core.at_most_once import RequestOwner
-from damaskbay.core.edge import EdgeRoom
+from damaskbay.core.edge import EdgeConcurrencyLimit
 from damaskbay.core.explain import DecisionLog
 from damaskbay.core.routing import Router, RouterOptions
 from damaskbay.daemon.admission import AdmissionGate, AdmissionTicker
@@ -198,7 +198,7 @@
         self._gate = AdmissionGate(
             AdmissionOptions(slots=settings.backend_server.slots),
             rng=self._rng,
-            still_allowed=rules.still_allowed,
+            refuse_withdrawn=rules.refuse_withdrawn,
         )
         stack.enter_context(AdmissionTicker(self._gate))
         calls = CallRegistry(clock)
@@ -210,7 +210,7 @@
             executor=executor,
             weight_of=rules.weight_of,
             clock=clock,
-            observe_wait=observer.queue_waited,
+            observe_wait=observer.record_queue_wait,
         )
         peers = PeerCaller(self._link, clock)
         dispatcher = Dispatcher(
@@ -255,7 +255,7 @@
             calls=calls,
             once=once,
             observer=observer,
-            room=EdgeRoom(settings.limits.caller_threads),
+            room=EdgeConcurrencyLimit(settings.limits.caller_threads),
         )
         self._ingress = Ingress(parts, clock=clock, wall_clock=time.time)
         self._announcer = Announcer(
--- a/damaskbay/daemon/calls.py
+++ b/damaskbay/daemon/calls.py
@@ -36,11 +36,11 @@
 class NestedCallListener(Protocol):
     """Callbacks for the start and end of a call's wait for its nested calls."""
 
-    def nested_began(self) -> None:
+    def record_nested_start(self) -> None:
         """Record that the call waits for nested calls."""
         ...
 
-    def nested_ended(self) -> None:
+    def record_nested_end(self) -> None:
         """Record that the call no longer waits for nested calls."""
         ...
 
@@ -130,7 +130,7 @@
             nested_time = self._nested_by_token[token]
             first = nested_time.start(self._clock())
         if first:
-            nested_time.listener.nested_began()
+            nested_time.listener.record_nested_start()
         return NestedCall(token, ticket, context)
 
     def end_nested(self, nested: NestedCall, retry_tokens_left: int) -> None:
@@ -141,7 +141,7 @@
             nested_time = self._nested_by_token.get(nested.token)
             last = nested_time is not None and nested_time.end(self._clock())
         if nested_time is not None and last:
-            nested_time.listener.nested_ended()
+            nested_time.listener.record_nested_end()
 
     def _pop_cancellations(self, tickets: tuple[int, ...]) -> list[Cancellation]:
         found = (self._cancellations_by_ticket.pop(item, None) for item in tickets)
--- a/damaskbay/daemon/config_polling.py
+++ b/damaskbay/daemon/config_polling.py
@@ -6,7 +6,7 @@
 
 from damaskbay.core.dissemination.messages import Push
 from damaskbay.core.dissemination.options import DisseminationOptions
-from damaskbay.core.dissemination.order import FleetOrder
+from damaskbay.core.dissemination.order import MemberOrder
 from damaskbay.daemon.config_messages import ContactDirectory
 from damaskbay.ports.fleet import MemberView
 from damaskbay.ports.peer import PeerAddress, PeerIdentity
@@ -36,8 +36,8 @@
     def __init__(
         self,
         identity: PeerIdentity,
-        order: FleetOrder,
-        backup_order: FleetOrder,
+        order: MemberOrder,
+        backup_order: MemberOrder,
         contacts: ContactDirectory,
         options: DisseminationOptions,
         rng: Random,
--- a/damaskbay/daemon/config_relay.py
+++ b/damaskbay/daemon/config_relay.py
@@ -9,7 +9,7 @@
 from damaskbay.core.dissemination.freshness import Proof
 from damaskbay.core.dissemination.lease import HeldLease
 from damaskbay.core.dissemination.options import DisseminationOptions
-from damaskbay.core.dissemination.order import LEADER_PURPOSE, FleetOrder
+from damaskbay.core.dissemination.order import LEADER_PURPOSE, MemberOrder
 from damaskbay.daemon.config_messages import (
     Head,
     HeadUnchanged,
@@ -56,7 +56,7 @@
         self._source = source
         self._membership = membership
         self._post_to_service = post_to_service
-        self._order = FleetOrder(identity.instance, LEADER_PURPOSE, options.relays)
+        self._order = MemberOrder(identity.instance, LEADER_PURPOSE, options.relays)
         self._lease = PlatformLease(
             platform,
             keys=tuple(
@@ -98,7 +98,7 @@
     def tick(self, now: float) -> None:
         """Renew the lease when due and watch the head once; resign if not a relay."""
         self._order.update(self._membership.members())
-        if not self._order.leads:
+        if not self._order.is_leader:
             self._resign()
             return
         if now < self._retry_not_before:
--- a/damaskbay/daemon/config_service.py
+++ b/damaskbay/daemon/config_service.py
@@ -8,11 +8,15 @@
 from typing import Any, Self
 
 from damaskbay.config.objects import ConfigSet
-from damaskbay.core.dissemination.freshness import Freshness, Proof, ReachBoard
-from damaskbay.core.dissemination.holder import Holder, Offer
+from damaskbay.core.dissemination.freshness import (
+    Freshness,
+    PlatformReachability,
+    Proof,
+)
+from damaskbay.core.dissemination.holder import ActiveConfig, OfferResult
 from damaskbay.core.dissemination.messages import Parts, Poll, Pull, Push, Status
 from damaskbay.core.dissemination.options import DisseminationOptions
-from damaskbay.core.dissemination.order import LEADER_PURPOSE, FleetOrder
+from damaskbay.core.dissemination.order import LEADER_PURPOSE, MemberOrder
 from damaskbay.daemon.config_messages import (
     ConfigReport,
     ContactDirectory,
@@ -62,13 +66,13 @@
         self._options = options = options or DisseminationOptions()
         self._link = link
         self._membership = membership
-        self._active = Holder()
+        self._active = ActiveConfig()
         self._freshness = Freshness()
-        self._reachability = ReachBoard(
-            outage_after_s=options.outage_after_s, valid_s=options.reach_valid_s
+        self._reachability = PlatformReachability(
+            outage_after_s=options.outage_after_s, valid_s=options.reachability_valid_s
         )
-        self._order = FleetOrder(identity.instance, LEADER_PURPOSE, options.relays)
-        self._backup_order = FleetOrder(
+        self._order = MemberOrder(identity.instance, LEADER_PURPOSE, options.relays)
+        self._backup_order = MemberOrder(
             identity.instance, LEADER_PURPOSE, options.backups
         )
         self._poll_scheduler = PollScheduler(
@@ -122,10 +126,10 @@
             active.version,
             "" if active.document is None else active.document.digest,
             self._freshness.proof_age_s(now),
-            state is not None and state.outage_for_all,
+            state is not None and state.platform_unreachable_everywhere,
             self._relay.holds_lease,
             active.problem or self._head_problem,
-            self._reachability.unreachable(domains, now)
+            self._reachability.unresponsive_domains(domains, now)
             if self._polls_remote_domains(now)
             else (),
         )
@@ -138,9 +142,9 @@
                 self._handle_offer_result(
                     self._active.offer(message.version, message.document)
                 )
-                self._freshness.prove(message.proof, self._active.version)
+                self._freshness.record_proof(message.proof, self._active.version)
             case HeadUnchanged():
-                self._freshness.prove(message.proof, self._active.version)
+                self._freshness.record_proof(message.proof, self._active.version)
             case UnusableHead():
                 self._head_problem = message.detail
             case PeerMessage():
@@ -173,7 +177,7 @@
     def _polls_remote_domains(self, now: float) -> bool:
         age_s = self._freshness.proof_age_s(now)
         stale = age_s is None or age_s >= self._options.outage_after_s
-        return stale and self._backup_order.leads
+        return stale and self._backup_order.is_leader
 
     def _check_for_outage(self, now: float) -> None:
         if not self._polls_remote_domains(now):
@@ -182,17 +186,19 @@
         domains = self._poll_scheduler.remote_domains()
         if domains is None:
             return
-        if self._reachability.outage_for_all(domains, now, proven_at=proven_at):
-            self._freshness.note_outage(now)
+        if self._reachability.all_domains_report_outage(
+            domains, now, proven_at=proven_at
+        ):
+            self._freshness.record_outage(now)
 
     def _handle_peer(self, received: PeerMessage, now: float) -> None:
         match received.message:
             case Poll():
-                received.responder.answer(self._status(now))
+                received.responder.reply(self._status(now))
             case Pull():
                 parts = self._active.parts_for(received.message.part_digests)
                 if parts is not None:
-                    received.responder.answer(parts)
+                    received.responder.reply(parts)
             case Push():
                 self._handle_push(received.peer, received.message, now)
 
@@ -209,11 +215,15 @@
         is_new = self._poll_scheduler.record_push(push)
         version_before = self._active.version
         result = self._active.offer_push(push)
-        if result is Offer.OTHER_BASE:
+        if result is OfferResult.OTHER_BASE:
             sender = self._order.by_instance(peer.instance)
             if sender is not None:
                 self._pull(sender.address, sender.failure_domain, now)
-        if is_new and result is not Offer.INVALID and push.version >= version_before:
+        if (
+            is_new
+            and result is not OfferResult.INVALID
+            and push.version >= version_before
+        ):
             self._forward_push(push)
         self._handle_offer_result(result, spread=False)
 
@@ -224,9 +234,9 @@
             case Parts():
                 self._pull_in_flight = False
                 result = self._active.offer_parts(received.reply)
-                if result is Offer.INVALID:
-                    self._no_pull_before = now + self._options.refused_pause_s
-                self._handle_offer_result(result, spread=self._backup_order.leads)
+                if result is OfferResult.INVALID:
+                    self._no_pull_before = now + self._options.rejected_set_pause_s
+                self._handle_offer_result(result, spread=self._backup_order.is_leader)
             case _:
                 self._pull_in_flight = False
                 self._poll_scheduler.record_failure(received.address)
@@ -234,14 +244,14 @@
     def _handle_status(self, received: PeerReply, status: Status, now: float) -> None:
         if status.failure_domain != self.identity.failure_domain:
             sent_at, age_s = received.sent_at, status.proof_age_s
-            self._reachability.heard(status.failure_domain, sent_at, age_s)
+            self._reachability.record_status(status.failure_domain, sent_at, age_s)
         if status.proof_age_s is not None:
             at = received.sent_at - status.proof_age_s
             proof = Proof(status.version, at)
-            self._freshness.prove(proof, self._active.version)
+            self._freshness.record_proof(proof, self._active.version)
         same_domain = status.failure_domain == self.identity.failure_domain
         if status.outage_age_s is not None and same_domain:
-            self._freshness.note_outage(received.sent_at - status.outage_age_s)
+            self._freshness.record_outage(received.sent_at - status.outage_age_s)
         if status.version > self._active.version:
             self._pull(received.address, received.domain, now)
 
@@ -253,12 +263,12 @@
         pull = Pull(self._active.part_digests())
         self._request(address, domain, pull, self._options.pull_timeout_s)
 
-    def _handle_offer_result(self, result: Offer, *, spread: bool = True) -> None:
+    def _handle_offer_result(self, result: OfferResult, *, spread: bool = True) -> None:
         """Publish a newly active set; with `spread`, push its delta to the children."""
-        if result is Offer.INVALID:
+        if result is OfferResult.INVALID:
             _LOGGER.error("config: %s.", self._active.problem)
         config = self._active.config
-        if result is not Offer.TAKEN or config is None:
+        if result is not OfferResult.ACTIVATED or config is None:
             return
         _LOGGER.info("config: version %d in force.", config.version)
         self._publish_state(self.clock())
--- a/damaskbay/daemon/dispatch.py
+++ b/damaskbay/daemon/dispatch.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from damaskbay.core.call import Answer, CallContext, CallResult, Request
+from damaskbay.core.call import CallContext, CallResult, Request, Response
 from damaskbay.core.http_status import FIRST_SERVER_ERROR
 from damaskbay.core.outcome import Outcome, Reason, Refusal, not_run, unknown
 from damaskbay.core.retry.budget import RetryBudget, RetryBudgetOptions
@@ -72,7 +72,7 @@
         try:
             reply = _wait_for_reply(future, timeout_s + _PEER_REPLY_GRACE_S)
         finally:
-            cancellation.forget(cancel)
+            cancellation.remove_callback(cancel)
         if isinstance(reply, (AnswerMessage, RefusalMessage)):
             return result_of(reply)
         return _result_of_failure(reply, context)
@@ -160,7 +160,7 @@
             local_room=self._target.has_room(),
         )
         if isinstance(chosen, ServerView):
-            self._router.started(chosen.instance, now)
+            self._router.record_start(chosen.instance, now)
         return chosen
 
     def _send_to_server(
@@ -177,7 +177,7 @@
         now = self._clock()
         outcome = _route_outcome(result, now - started_at)
         with self._lock:
-            self._router.finished(server.instance, outcome, now)
+            self._router.record_end(server.instance, outcome, now)
             if outcome.failure is None:
                 self._retry_budget(context.pool, now).succeeded()
         if _is_peer_failure(result):
@@ -296,7 +296,7 @@
 def _route_outcome(result: CallResult, latency_s: float) -> RouteOutcome:
     outcome = result.result
     failure = None
-    if isinstance(outcome, Answer):
+    if isinstance(outcome, Response):
         if outcome.status >= FIRST_SERVER_ERROR:
             failure = FailureKind.FAILED
     else:
--- a/damaskbay/daemon/ingress.py
+++ b/damaskbay/daemon/ingress.py
@@ -9,8 +9,8 @@
 
 from damaskbay.config.objects import Access, Route
 from damaskbay.core.call import CallContext, CallResult
-from damaskbay.core.edge import EdgeRoom
-from damaskbay.core.freshness import may_serve
+from damaskbay.core.edge import EdgeConcurrencyLimit
+from damaskbay.core.freshness import refuse_unproven
 from damaskbay.core.identify import Credentials, RouteMatcher, identify_root
 from damaskbay.core.outcome import Outcome, Reason, Refusal, not_run
 from damaskbay.core.scrub import scrub
@@ -42,7 +42,7 @@
     calls: CallRegistry
     once: AtMostOnceService
     observer: CallObserver
-    room: EdgeRoom
+    room: EdgeConcurrencyLimit
 
 
 @dataclass(frozen=True, slots=True)
@@ -190,7 +190,7 @@
     ) -> Refusal | None:
         if context.deadline <= now:
             return not_run(Reason.DEADLINE_PASSED)
-        refusal = may_serve(route, state, now)
+        refusal = refuse_unproven(route, state, now)
         if refusal is not None:
             return refusal
         refusal = self._parts.room.refuse(self._in_flight - 1, context.priority_rank)
--- a/damaskbay/daemon/membership.py
+++ b/damaskbay/daemon/membership.py
@@ -9,7 +9,7 @@
 
 from damaskbay.adapters.gossip_udp import GossipSocket, PacketCodec
 from damaskbay.core.membership.contacts import (
-    ContactBook,
+    ContactList,
     pack_contacts,
     unpack_contacts,
 )
@@ -24,7 +24,7 @@
     Rumor,
 )
 from damaskbay.core.membership.swim import Swim
-from damaskbay.core.membership.sync import AskServers, Digests, Entries, Servers
+from damaskbay.core.membership.sync import Digests, Entries, Servers, ServersRequest
 from damaskbay.core.membership.views import Views
 from damaskbay.core.membership.wire import pack_entries, unpack_entries
 from damaskbay.daemon.membership_contacts import ContactMaintainer
@@ -89,7 +89,7 @@
         self._swim = Swim(own_entry, options, rng, self.clock())
         self._seeds = tuple(seeds)
         self._swim.set_seeds(self._seeds)
-        self._contact_book = ContactBook()
+        self._contact_book = ContactList()
         self._views = Views()
         self._displacement_logged = False
         self._exchange = DomainExchange(
@@ -112,7 +112,7 @@
                 rng=Random(seed),
             )
         self._refresh_views()
-        for message_type in (Digests, AskServers):
+        for message_type in (Digests, ServersRequest):
             link.register(message_type, self._post_peer_request)
         link.register(Entries, lambda _peer, entries, _: self._post(entries))
         link.register(
@@ -150,7 +150,7 @@
         if self._contact_maintainer is not None:
             self._contact_maintainer.__exit__(exc_type, exc, traceback)
         super().__exit__(exc_type, exc, traceback)
-        self._send(self._swim.leave(self.clock()))
+        self._send(self._swim.announce_stop(self.clock()))
         self._socket.__exit__(exc_type, exc, traceback)
 
     def servers(self, pool: str) -> tuple[ServerView, ...]:
@@ -234,7 +234,7 @@
         self._send(self._swim.suspect(message.instance, message.incarnation, now))
 
     def _handle_contacts(self, message: ContactsRead) -> None:
-        self._contact_book.take(message.contacts)
+        self._contact_book.update(message.contacts)
         local_seeds = (
             item.gossip
             for item in message.seeds
@@ -259,7 +259,7 @@
         match received.message:
             case Digests():
                 self._reply_to_sync(received.message, received.responder)
-            case AskServers():
+            case ServersRequest():
                 self._exchange.reply(received.message, received.responder, now)
 
     def _reply_to_sync(self, request: Digests, responder: Responder) -> None:
@@ -273,7 +273,7 @@
             if own_digest != peer_digest
         )
         same_contacts = request.contacts_digest == self._contact_book.digest()
-        responder.answer(self._pack_buckets(buckets, contacts=not same_contacts))
+        responder.reply(self._pack_buckets(buckets, contacts=not same_contacts))
 
     def _handle_sync_reply(self, message: SyncReply, now: float) -> None:
         reply = message.reply
@@ -301,7 +301,7 @@
             return
         self._swim.merge(entries, now)
         if message.contacts:
-            self._contact_book.take(unpack_contacts(message.contacts) or ())
+            self._contact_book.update(unpack_contacts(message.contacts) or ())
 
     def _send(self, outgoing: Iterable[Outgoing]) -> None:
         for item in outgoing:
--- a/damaskbay/daemon/membership_contacts.py
+++ b/damaskbay/daemon/membership_contacts.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any
 
-from damaskbay.core.dissemination.order import LEADER_PURPOSE, FleetOrder
+from damaskbay.core.dissemination.order import LEADER_PURPOSE, MemberOrder
 from damaskbay.core.membership.contacts import (
     CONTACT_PREFIX,
     Contact,
@@ -51,7 +51,7 @@
         self._post_to_service = post_to_service
         self._options = options
         self._rng = rng
-        self._order = FleetOrder(own_entry.instance, LEADER_PURPOSE, options.delegates)
+        self._order = MemberOrder(own_entry.instance, LEADER_PURPOSE, options.delegates)
         self._next_read_at = 0.0
         self._next_renewal_at = 0.0
         self._was_delegate = False
@@ -62,9 +62,11 @@
     def tick(self, now: float) -> None:
         """Read the contacts and renew this daemon's own when due."""
         self._order.update(self._members())
-        became_delegate = self._order.leads and not self._was_delegate
-        self._was_delegate = self._order.leads
-        if not self._order.leads or (now < self._next_read_at and not became_delegate):
+        became_delegate = self._order.is_leader and not self._was_delegate
+        self._was_delegate = self._order.is_leader
+        if not self._order.is_leader or (
+            now < self._next_read_at and not became_delegate
+        ):
             return
         jitter = self._rng.uniform(0.9, 1.1)
         self._next_read_at = now + self._options.contact_period_s * jitter
@@ -100,7 +102,7 @@
         own_contact = Contact(
             domain, slot, 0, self._own_entry.address, self._own_entry.gossip
         )
-        current = [item for item in contacts if item.place == own_contact.place]
+        current = [item for item in contacts if item.key == own_contact.key]
         if (
             current
             and _same_addresses(current[0], own_contact)
--- a/damaskbay/daemon/membership_messages.py
+++ b/damaskbay/daemon/membership_messages.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from damaskbay.core.membership.contacts import Contact
-from damaskbay.core.membership.sync import AskServers, Digests, Servers
+from damaskbay.core.membership.sync import Digests, Servers, ServersRequest
 from damaskbay.ports.fleet import ServerState
 from damaskbay.ports.peer import PeerAddress, Responder
 
@@ -31,7 +31,7 @@
 class PeerRequest:
     """Request from a peer."""
 
-    message: Digests | AskServers
+    message: Digests | ServersRequest
     responder: Responder
 
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServersReply:
-    """Reply to an AskServers request, or a PeerFailure."""
+    """Reply to an ServersRequest request, or a PeerFailure."""
 
     domain: str
     reply: Any
--- a/damaskbay/daemon/messages.py
+++ b/damaskbay/daemon/messages.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from damaskbay.core.call import Answer, CallContext, CallResult, Headers, Request
+from damaskbay.core.call import CallContext, CallResult, Headers, Request, Response
 from damaskbay.core.outcome import Outcome, Reason, Refusal
 from damaskbay.helpers.messages import message
 
@@ -15,8 +15,8 @@
 
     `remaining_s` is the time to the deadline in seconds. With `owned` the receiver
     owns the request id: it dispatches the call to a server of the pool instead of
-    running it on its own backend server. `resent` marks a retry, `under_resent` a
-    call nested below a retry.
+    running it on its own backend server. `is_retry` marks a retry, `is_nested_in_retry`
+    a call nested below a retry.
     """
 
     call_id: str
@@ -38,8 +38,8 @@
     body: bytes
     owned: bool = False
     objective_s: float | None = None
-    resent: bool = False
-    under_resent: bool = False
+    is_retry: bool = False
+    is_nested_in_retry: bool = False
 
 
 @message("call.answer")
@@ -99,8 +99,8 @@
         body=request.body,
         owned=owned,
         objective_s=context.objective_s,
-        resent=context.resent,
-        under_resent=context.under_resent,
+        is_retry=context.is_retry,
+        is_nested_in_retry=context.is_nested_in_retry,
     )
 
 
@@ -120,8 +120,8 @@
         config_version=call.config_version,
         key_digest=call.key_digest,
         objective_s=call.objective_s,
-        resent=call.resent,
-        under_resent=call.under_resent,
+        is_retry=call.is_retry,
+        is_nested_in_retry=call.is_nested_in_retry,
     )
 
 
@@ -133,7 +133,7 @@
 def to_result_message(result: CallResult) -> AnswerMessage | RefusalMessage:
     """Return the reply message of a call result."""
     outcome = result.result
-    if isinstance(outcome, Answer):
+    if isinstance(outcome, Response):
         return AnswerMessage(
             outcome.status,
             outcome.headers,
@@ -161,11 +161,11 @@
 
 def result_of(reply: AnswerMessage | RefusalMessage) -> CallResult:
     """Return the call result of a reply message."""
-    outcome: Answer | Refusal
+    outcome: Response | Refusal
     backend_s: float | None = None
     nested_failed = False
     if isinstance(reply, AnswerMessage):
-        outcome = Answer(reply.status, reply.headers, reply.body)
+        outcome = Response(reply.status, reply.headers, reply.body)
         backend_s = reply.backend_s
         nested_failed = reply.nested_failed
     else:
--- a/damaskbay/daemon/observer.py
+++ b/damaskbay/daemon/observer.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from damaskbay.adapters.telemetry.client import Telemetry
-from damaskbay.core.call import Answer, CallContext
+from damaskbay.core.call import CallContext, Response
 from damaskbay.core.explain import Decision, DecisionLog, shorten
 from damaskbay.helpers.task import Task
 from damaskbay.ports.metrics import EndedCall
@@ -65,7 +65,7 @@
         """Queue the event of a call that ended at its ingress."""
         self._enqueue(_CallEnded(ended, self._wall_clock()))
 
-    def queue_waited(self, context: CallContext, waited_s: float) -> None:
+    def record_queue_wait(self, context: CallContext, waited_s: float) -> None:
         """Queue the event of a call that waited `waited_s` seconds for admission."""
         self._enqueue(_QueueWaited(context, waited_s))
 
@@ -107,7 +107,7 @@
 
     def _process(self, event: "_CallEnded | _QueueWaited") -> None:
         if isinstance(event, _QueueWaited):
-            self._telemetry.queue_waited(event.context, event.waited_s)
+            self._telemetry.record_queue_wait(event.context, event.waited_s)
             return
         call = event.call
         self._telemetry.call_ended(call.context, call.result, took_s=call.took_s)
@@ -121,7 +121,7 @@
 
 def _decision_of(call: EndedCall, wall_now: float) -> Decision:
     outcome = call.result.result
-    if isinstance(outcome, Answer):
+    if isinstance(outcome, Response):
         decision, reason, detail = DECISION_ANSWERED, str(outcome.status), ""
     else:
         decision = f"refused {outcome.outcome.value}"
--- a/damaskbay/daemon/once.py
+++ b/damaskbay/daemon/once.py
@@ -10,7 +10,7 @@
     fingerprint_of,
     parse_request_id,
 )
-from damaskbay.core.call import Answer, CallContext, CallResult, Request
+from damaskbay.core.call import CallContext, CallResult, Request, Response
 from damaskbay.core.outcome import Outcome, Reason, Refusal, unknown
 from damaskbay.daemon.dispatch import Dispatcher, OutgoingCall, PeerCaller
 from damaskbay.ports.caller import IssuedIds
@@ -77,7 +77,9 @@
             return CallResult(replace(refusal, outcome=Outcome.UNKNOWN), attempts=0)
         fingerprint = fingerprint_of(context.workspace, request)
         with self._lock:
-            recorded = self._owner.recall(request_id, fingerprint, self._clock())
+            recorded = self._owner.result_for_retry(
+                request_id, fingerprint, self._clock()
+            )
         return CallResult(recorded or refusal, attempts=0)
 
     def run_owned(self, outgoing: OutgoingCall) -> CallResult:
@@ -88,7 +90,7 @@
             begun = self._owner.begin(request_id, fingerprint, self._clock())
         if not isinstance(begun, Run):
             return CallResult(begun, attempts=0)
-        result: Answer | Refusal = unknown(Reason.INTERNAL_ERROR)
+        result: Response | Refusal = unknown(Reason.INTERNAL_ERROR)
         try:
             done = self._dispatcher.dispatch(outgoing)
             result = done.result
--- a/damaskbay/daemon/operator.py
+++ b/damaskbay/daemon/operator.py
@@ -58,7 +58,7 @@
         state = self._config.state()
         health = self.health()
         age_s = None if state is None else self._clock() - state.proven_at
-        for_all = state is not None and state.outage_for_all
+        for_all = state is not None and state.platform_unreachable_everywhere
         document = StatusModel(
             instance=self._identity.instance,
             incarnation=self._identity.incarnation,
--- a/damaskbay/daemon/peer_calls.py
+++ b/damaskbay/daemon/peer_calls.py
@@ -64,14 +64,14 @@
         if not self._try_reserve_slot():
             refuse = unknown if call.owned else not_run
             refusal = refuse(Reason.OVERLOADED, detail="too many calls from peers")
-            responder.answer(
+            responder.reply(
                 to_result_message(CallResult(refusal, 0, call.retry_tokens))
             )
             return
 
         def done(result: CallResult) -> None:
             self._release_slot()
-            responder.answer(to_result_message(result))
+            responder.reply(to_result_message(result))
 
         if call.owned:
             self._executor.submit(self._run_owned, call, cancellation, done)
--- a/damaskbay/daemon/platform_lease.py
+++ b/damaskbay/daemon/platform_lease.py
@@ -38,7 +38,7 @@
 
     def holds(self) -> bool:
         """Return whether the lease is held now, by the local clock."""
-        return self._held_lease.holds(self._clock())
+        return self._held_lease.is_held(self._clock())
 
     def renew(self) -> bool:
         """Renew the key, or acquire a free one; return whether a lease was granted."""
@@ -81,7 +81,7 @@
             result = self._platform.get(key, timeout_s=self._timeout_s)
         if isinstance(result, Entry) and result.value == value:
             self._entry = result
-            self._held_lease.granted(requested_at)
+            self._held_lease.record_grant(requested_at)
             return True
         if isinstance(result, Conflict | None):
             self._entry = None
--- a/damaskbay/daemon/rates_ledger.py
+++ b/damaskbay/daemon/rates_ledger.py
@@ -7,13 +7,13 @@
 from damaskbay.core.rates.const import LEDGER_KEY_PREFIX
 from damaskbay.core.rates.ledger import GroupLedger
 from damaskbay.core.rates.node import (
-    CallResult,
-    LedgerCall,
+    LedgerRequest,
+    LedgerResult,
     NoEffect,
-    Stands,
+    StoredLedger,
     Unresolved,
     WriteLedger,
-    Wrote,
+    WriteSucceeded,
 )
 from damaskbay.ports.platform import (
     Conflict,
@@ -34,7 +34,7 @@
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
 
-    def run(self, call: LedgerCall) -> CallResult:
+    def run(self, call: LedgerRequest) -> LedgerResult:
         """Read or write a ledger; return failures as values instead of raising."""
         key = f"{LEDGER_KEY_PREFIX}{call.group}"
         if isinstance(call, WriteLedger):
@@ -44,7 +44,7 @@
             return NoEffect()
         return _current_ledger(entry)
 
-    def _write(self, key: str, call: WriteLedger) -> CallResult:
+    def _write(self, key: str, call: WriteLedger) -> LedgerResult:
         value = encode_ledger(call.proposal.ledger)
         if len(value) > MAX_PLATFORM_VALUE_BYTES:
             _LOGGER.error(
@@ -60,7 +60,7 @@
             timeout_s=CALL_TIMEOUT_S,
         )
         if isinstance(result, Entry):
-            return Wrote(result.revision)
+            return WriteSucceeded(result.revision)
         if isinstance(result, Conflict):
             return _current_ledger(result.current)
         if result.problem is PlatformProblem.ANSWER_LOST:
@@ -68,13 +68,13 @@
         return NoEffect()
 
 
-def _current_ledger(entry: Entry | None) -> CallResult:
+def _current_ledger(entry: Entry | None) -> LedgerResult:
     if entry is None:
-        return Stands(GroupLedger(), 0)
+        return StoredLedger(GroupLedger(), 0)
     ledger = decode_ledger(entry.value)
     if isinstance(ledger, BadLedger):
         _LOGGER.error(
             "rates: stored ledger can't be decoded. %s: %s", entry.key, ledger.detail
         )
         return Unresolved()
-    return Stands(ledger, entry.revision)
+    return StoredLedger(ledger, entry.revision)
--- a/damaskbay/daemon/rates_stock.py
+++ b/damaskbay/daemon/rates_stock.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from damaskbay.core.outcome import Reason, Refusal, not_run
-from damaskbay.core.rates.messages import BucketAsk, BucketGrant, GrantClose
-from damaskbay.core.rates.stock import Missing, Stock
+from damaskbay.core.rates.messages import BucketGrant, BucketRequest, GrantClose
+from damaskbay.core.rates.stock import MissingTokens, Stock
 from damaskbay.ports.peer import PeerAddress
 
 MAX_WAITERS = 2_000
@@ -32,9 +32,9 @@
     def acquire(self, buckets: tuple[str, ...], now: float) -> Refusal | Waiter | None:
         """Spend one token of each bucket, or return a refusal or a queued waiter."""
         with self._lock:
-            self._stock.arrive(buckets, now)
-            acquired = self._stock.take(buckets, now)
-            if not isinstance(acquired, Missing):
+            self._stock.count_call(buckets, now)
+            acquired = self._stock.spend(buckets, now)
+            if not isinstance(acquired, MissingTokens):
                 return acquired
             if len(self._waiters) >= MAX_WAITERS:
                 return not_run(Reason.SHARE_UNAVAILABLE, retry_after_s=1.0)
@@ -55,13 +55,13 @@
         detail = "no answer from the share's holder"
         return not_run(Reason.SHARE_UNAVAILABLE, retry_after_s=1.0, detail=detail)
 
-    def due_asks(self, now: float) -> tuple[BucketAsk, ...]:
+    def due_requests(self, now: float) -> tuple[BucketRequest, ...]:
         """Return the token requests to send now."""
         with self._lock:
             waiting = Counter(
                 bucket for waiter in self._waiters for bucket in waiter.buckets
             )
-            return self._stock.due_asks(waiting, now)
+            return self._stock.due_requests(waiting, now)
 
     def turn(self, bucket: str) -> int:
         """Return the index of the group's holder that gets the last due request."""
@@ -71,7 +71,7 @@
     def granted(
         self,
         grants: tuple[BucketGrant, ...],
-        asks: tuple[BucketAsk, ...],
+        asks: tuple[BucketRequest, ...],
         holder: PeerAddress | None,
         *,
         asked_at: float,
@@ -82,16 +82,16 @@
         with self._lock:
             for grant in grants:
                 needed = needed_by_bucket.get(grant.bucket, 0)
-                self._stock.granted(
+                self._stock.add_grant(
                     grant, holder, needed=needed, asked_at=asked_at, now=now
                 )
             self._serve_waiters(now)
 
-    def requests_failed(self, asks: tuple[BucketAsk, ...], now: float) -> None:
+    def requests_failed(self, asks: tuple[BucketRequest, ...], now: float) -> None:
         """Record that token requests failed."""
         with self._lock:
             for ask in asks:
-                self._stock.ask_failed(ask.bucket, now)
+                self._stock.request_failed(ask.bucket, now)
 
     def due_closes(
         self, now: float, *, everything: bool = False
@@ -108,8 +108,8 @@
         """Serve waiters in order of arrival; the caller holds the lock."""
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
-            acquired = self._stock.take(waiter.buckets, now)
-            if isinstance(acquired, Missing):
+            acquired = self._stock.spend(waiter.buckets, now)
+            if isinstance(acquired, MissingTokens):
                 self._waiters.append(waiter)
             else:
                 waiter.future.set_result(acquired)
--- a/damaskbay/daemon/rates_task.py
+++ b/damaskbay/daemon/rates_task.py
@@ -8,20 +8,20 @@
 from types import TracebackType
 from typing import Any, Self
 
-from damaskbay.core.rates.const import ASK_TIMEOUT_S
+from damaskbay.core.rates.const import TOKEN_REQUEST_TIMEOUT_S
 from damaskbay.core.rates.messages import (
-    BucketAsk,
+    BucketRequest,
     GrantClose,
-    TokenAsk,
     TokenCloses,
     TokenGrants,
+    TokenRequest,
 )
-from damaskbay.core.rates.names import Total, total_of
+from damaskbay.core.rates.names import BucketLimit, total_of
 from damaskbay.core.rates.node import (
-    Answer,
-    CallResult,
     HolderNode,
-    LedgerCall,
+    LedgerRequest,
+    LedgerResult,
+    TokenReply,
     Unresolved,
     group_of,
 )
@@ -61,7 +61,7 @@
 @dataclass(frozen=True, slots=True)
 class _PeerTokenRequest:
     peer: PeerIdentity
-    request: TokenAsk
+    request: TokenRequest
     responder: Responder
 
 
@@ -83,7 +83,7 @@
     """Token requests sent to one holder; `holder` None is this daemon."""
 
     holder: MemberView | None
-    asks: tuple[BucketAsk, ...]
+    asks: tuple[BucketRequest, ...]
     sent_at: float
 
 
@@ -95,8 +95,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _LedgerCallDone:
-    call: LedgerCall
-    result: CallResult
+    call: LedgerRequest
+    result: LedgerResult
 
 
 class RateTask(Task):
@@ -137,7 +137,7 @@
             LEDGER_THREADS, thread_name_prefix="ledger"
         )
         self._releasing = False
-        link.register(TokenAsk, self._on_token_request)
+        link.register(TokenRequest, self._on_token_request)
         link.register(TokenCloses, self._on_token_closes)
 
     def __enter__(self) -> Self:
@@ -161,7 +161,9 @@
             case _PeerTokenRequest(peer, request, responder):
                 daemon = _process_id(peer)
                 key = _PeerReplyKey(responder)
-                replies = self._node.ask(key, daemon, request, self._total_of, now)
+                replies = self._node.request_tokens(
+                    key, daemon, request, self._total_of, now
+                )
                 self._deliver(replies, now)
             case _PeerTokenCloses(peer, closes):
                 self._node.close(_process_id(peer), closes, now)
@@ -182,7 +184,7 @@
         """Send due closes, replies, token requests and ledger calls."""
         self._update_members()
         self._send_closes(now)
-        self._deliver(self._node.due_answers(now), now)
+        self._deliver(self._node.due_replies(now), now)
         self._send_due_requests(now)
         self._start_calls(now)
         if self._node.stopped() and not self.left.done():
@@ -194,11 +196,11 @@
         holder = self._holder_table.holder(group_of(bucket, self._options.groups), now)
         return holder.instance if holder else self._own_process_id.rpartition("/")[0]
 
-    def _total_of(self, bucket: str) -> Total | None:
+    def _total_of(self, bucket: str) -> BucketLimit | None:
         state = self._config.state()
         if state is None:
             return None
-        removed_limit = Total(0, 0, state.config.version)
+        removed_limit = BucketLimit(0, 0, state.config.version)
         return total_of(state.config, bucket) or removed_limit
 
     def _update_members(self) -> None:
@@ -209,9 +211,9 @@
         if self._releasing:
             return
         self._update_members()
-        asks_by_instance: dict[str, list[BucketAsk]] = {}
+        asks_by_instance: dict[str, list[BucketRequest]] = {}
         members_by_instance: dict[str, MemberView | None] = {}
-        for ask in self._stock.due_asks(now):
+        for ask in self._stock.due_requests(now):
             group = group_of(ask.bucket, self._options.groups)
             holder = self._holder_table.holder(group, now, self._stock.turn(ask.bucket))
             instance = holder.instance if holder else ""
@@ -223,16 +225,16 @@
             )
 
     def _send_request(self, sent: _SentRequest) -> None:
-        request = TokenAsk(sent.asks)
+        request = TokenRequest(sent.asks)
         if sent.holder is None:
             now = sent.sent_at
-            replies = self._node.ask(
+            replies = self._node.request_tokens(
                 sent, self._own_process_id, request, self._total_of, now
             )
             self._deliver(replies, now)
             return
         future = self._link.request(
-            sent.holder.address, request, timeout_s=ASK_TIMEOUT_S
+            sent.holder.address, request, timeout_s=TOKEN_REQUEST_TIMEOUT_S
         )
         future.add_done_callback(lambda done: self._post_reply(sent, done))
 
@@ -261,13 +263,13 @@
         else:
             self._holder_table.avoid(instance, now)
 
-    def _deliver(self, replies: list[Answer], now: float) -> None:
+    def _deliver(self, replies: list[TokenReply], now: float) -> None:
         for reply in replies:
             if isinstance(reply.key, _SentRequest):
                 self._on_reply(reply.key, reply.grants, now)
             else:
                 assert isinstance(reply.key, _PeerReplyKey)
-                reply.key.responder.answer(reply.grants)
+                reply.key.responder.reply(reply.grants)
 
     def _send_closes(self, now: float) -> None:
         closes_by_holder = self._stock.due_closes(now, everything=self._releasing)
@@ -286,7 +288,7 @@
         for call in self._node.calls(self._total_of, now):
             self._ledger_executor.submit(self._run_ledger_call, call)
 
-    def _run_ledger_call(self, call: LedgerCall) -> None:
+    def _run_ledger_call(self, call: LedgerRequest) -> None:
         try:
             result = self._store.run(call)
         except Exception:
--- a/damaskbay/daemon/rules.py
+++ b/damaskbay/daemon/rules.py
@@ -1,7 +1,7 @@
 """Thread-safe queries of the active configuration set."""
 
 from damaskbay.core.call import CallContext
-from damaskbay.core.identify import still_allowed
+from damaskbay.core.identify import refuse_withdrawn
 from damaskbay.core.outcome import Refusal
 from damaskbay.ports.fleet import ConfigSource
 
@@ -30,7 +30,7 @@
         found = state.config.pools_by_name.get(pool)
         return found is not None and found.other_domains
 
-    def still_allowed(self, context: CallContext) -> Refusal | None:
+    def refuse_withdrawn(self, context: CallContext) -> Refusal | None:
         """
         Refuse a waiting call whose key, workspace or route has been withdrawn.
 
@@ -40,4 +40,4 @@
         state = self._source.state()
         if state is None or state.config.version < context.config_version:
             return None
-        return still_allowed(state.config, context)
+        return refuse_withdrawn(state.config, context)
--- a/damaskbay/daemon/target.py
+++ b/damaskbay/daemon/target.py
@@ -5,8 +5,8 @@
 from concurrent.futures import Executor, Future
 from dataclasses import dataclass, field
 
-from damaskbay.core.admission import Sample
-from damaskbay.core.call import Answer, CallContext, CallResult, Request
+from damaskbay.core.admission import CallSample
+from damaskbay.core.call import CallContext, CallResult, Request, Response
 from damaskbay.core.http_status import FIRST_SERVER_ERROR
 from damaskbay.core.outcome import Reason, Refusal, not_run, unknown
 from damaskbay.daemon.admission import AdmissionGate, Ticket
@@ -133,7 +133,7 @@
 
         call.cancellation.on_cancel(revoke_token)
         started_at = self._clock()
-        outcome: Answer | Refusal = unknown(Reason.INTERNAL_ERROR)
+        outcome: Response | Refusal = unknown(Reason.INTERNAL_ERROR)
         try:
             outcome = self._backend.call(
                 call.request,
@@ -142,11 +142,11 @@
                 cancellation=call.cancellation,
             )
         finally:
-            call.cancellation.forget(revoke_token)
+            call.cancellation.remove_callback(revoke_token)
             closed = self._calls.close(token)
             backend_s = self._clock() - started_at
             ticket.finish(
-                Sample(
+                CallSample(
                     backend_s,
                     succeeded=_succeeded(outcome),
                     cancelled=call.cancellation.cancelled,
@@ -171,5 +171,5 @@
         )
 
 
-def _succeeded(outcome: Answer | Refusal) -> bool:
-    return isinstance(outcome, Answer) and outcome.status < FIRST_SERVER_ERROR
+def _succeeded(outcome: Response | Refusal) -> bool:
+    return isinstance(outcome, Response) and outcome.status < FIRST_SERVER_ERROR
--- a/damaskbay/helpers/cancellation.py
+++ b/damaskbay/helpers/cancellation.py
@@ -35,7 +35,7 @@
                 return
         callback()
 
-    def forget(self, callback: Callable[[], None]) -> None:
+    def remove_callback(self, callback: Callable[[], None]) -> None:
         """Remove a callback; do nothing if it is not registered."""
         with self._lock:
             if callback in self._callbacks:
--- a/damaskbay/helpers/http_exchange.py
+++ b/damaskbay/helpers/http_exchange.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from damaskbay.core.call import Answer, Headers
+from damaskbay.core.call import Headers, Response
 from damaskbay.helpers.http_response import TruncationDetectingResponse
 
 READ_CHUNK_BYTES: Final = 65_536
@@ -26,12 +26,12 @@
     """
     A keep-alive connection, over TLS if a context is given.
 
-    `wrote` is whether any byte of the current request may have been written,
+    `may_have_written` is whether any byte of the current request may have been written,
     `reusable` whether another request may follow; `idle_since` is in seconds.
     """
 
     response_class = TruncationDetectingResponse
-    wrote = False
+    may_have_written = False
     reusable = False
     idle_since = 0.0
 
@@ -57,15 +57,15 @@
         """
         Write data; raise ConnectionError if not connected.
 
-        `http.client` would open a missing connection here, and `wrote` would be set
-        even if that failed.
+        `http.client` would open a missing connection here, and `may_have_written` would
+        be set even if that failed.
         """
         if self.sock is None:
             raise ConnectionError("connection is not open")
-        self.wrote = True
+        self.may_have_written = True
         super().send(data)  # type: ignore[arg-type]
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether the connection is open and has no data to read."""
         if self.sock is None:
             return False
@@ -94,9 +94,9 @@
     connection.endheaders(body or None)
 
 
-def read_answer(
+def read_response(
     connection: Connection, deadline: float, clock: Callable[[], float], max_bytes: int
-) -> Answer:
+) -> Response:
     """
     Read a complete response within `max_bytes`.
 
@@ -128,4 +128,4 @@
     if truncated or (declared_bytes is not None and size != declared_bytes):
         raise AnswerCutShortError
     connection.reusable = not response.will_close
-    return Answer(response.status, tuple(response.getheaders()), b"".join(chunks))
+    return Response(response.status, tuple(response.getheaders()), b"".join(chunks))
--- a/damaskbay/helpers/http_headers.py
+++ b/damaskbay/helpers/http_headers.py
@@ -23,7 +23,7 @@
 )
 
 
-def without(headers: Headers, names: frozenset[str]) -> Headers:
+def without_headers(headers: Headers, names: frozenset[str]) -> Headers:
     """Return the headers except those in `names`, which are in lower case."""
     return tuple(item for item in headers if item[0].lower() not in names)
 
@@ -42,7 +42,7 @@
     CONNECTION = auto()
 
 
-class HeaderSieve:
+class HeaderFilter:
     """
     Filter that extracts and removes headers in one pass.
 
@@ -56,7 +56,7 @@
         self._read = read
         self._treatments_by_name: dict[str, _Treatment] = {}
 
-    def sift(self, headers: Headers) -> tuple[Headers, dict[str, str]]:
+    def split(self, headers: Headers) -> tuple[Headers, dict[str, str]]:
         """Return the headers to forward, and the values of the headers to read."""
         kept: list[tuple[str, str]] = []
         values: dict[str, str] = {}
@@ -75,7 +75,7 @@
             elif treatment is _Treatment.CONNECTION:
                 connection_names |= _listed_names(item[1])
         if connection_names:
-            return without(tuple(kept), connection_names), values
+            return without_headers(tuple(kept), connection_names), values
         return tuple(kept), values
 
     def _classify(self, name: str) -> _Treatment:
@@ -99,10 +99,10 @@
     return frozenset(tokens) - _CONNECTION_OPTIONS - {""}
 
 
-_HOP_BY_HOP_FILTER: Final = HeaderSieve(dropped=frozenset(), read=frozenset())
+_HOP_BY_HOP_FILTER: Final = HeaderFilter(dropped=frozenset(), read=frozenset())
 
 
 def without_hop_by_hop(headers: Headers) -> Headers:
     """Return the headers without hop-by-hop headers (RFC 9110, 7.6.1)."""
-    kept, _ = _HOP_BY_HOP_FILTER.sift(headers)
+    kept, _ = _HOP_BY_HOP_FILTER.split(headers)
     return kept
--- a/damaskbay/helpers/keys.py
+++ b/damaskbay/helpers/keys.py
@@ -24,7 +24,7 @@
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
-def holds_key(text: str, presented: str | None) -> bool:
+def contains_key(text: str, presented: str | None) -> bool:
     """
     Return whether a text contains a key: plain, percent-encoded or in Basic form.
 
@@ -39,7 +39,7 @@
     return _contains_plain_key(_decode_basic_credentials(text), presented)
 
 
-def body_holds_key(body: bytes, presented: str | None) -> bool:
+def body_contains_key(body: bytes, presented: str | None) -> bool:
     """Return whether a body contains a key in plain form."""
     if presented and presented.encode() in body:
         return True
--- a/damaskbay/helpers/messages.py
+++ b/damaskbay/helpers/messages.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BadMessage:
+class InvalidMessage:
     """Result for bytes that are not a valid message of a known kind."""
 
     detail: str
@@ -71,15 +71,15 @@
     return _encoder.encode((codec.kind, codec.field_values(item)))
 
 
-def unpack(data: bytes, *, max_bytes: int) -> Any | BadMessage:
-    """Return the decoded message, or BadMessage if invalid or over `max_bytes`."""
+def unpack(data: bytes, *, max_bytes: int) -> Any | InvalidMessage:
+    """Return the decoded message, or InvalidMessage if invalid or over `max_bytes`."""
     if len(data) > max_bytes:
-        return BadMessage(f"{len(data)} bytes exceed the limit of {max_bytes}")
+        return InvalidMessage(f"{len(data)} bytes exceed the limit of {max_bytes}")
     try:
         kind, values = _envelope_decoder.decode(data)
         codec = _codecs_by_kind[kind]
         return codec.cls(*codec.decoder.decode(values))
     except KeyError:
-        return BadMessage("not a message: unknown kind")
+        return InvalidMessage("not a message: unknown kind")
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        return BadMessage(f"not a message: {error}")
+        return InvalidMessage(f"not a message: {error}")
--- a/damaskbay/mesh/app.py
+++ b/damaskbay/mesh/app.py
@@ -40,11 +40,11 @@
 from damaskbay.mesh.gate import Gate
 from damaskbay.mesh.local_server import Heartbeat, LocalServer
 from damaskbay.mesh.messages import (
-    ConfigWanted,
+    ConfigRequest,
     DemandReport,
     DomainDemandRequest,
     Note,
-    TokenRequest,
+    PooledTokenRequest,
 )
 from damaskbay.mesh.neighbours import wanted_neighbours
 from damaskbay.mesh.observing import StatusEndpoints, StatusParts
@@ -343,13 +343,13 @@
             self._peer_config.fetch(PeerAddress(note.host, note.port))
 
     async def _handle_request(self, message: Any) -> Any:
-        if isinstance(message, ConfigWanted):
+        if isinstance(message, ConfigRequest):
             return self._peer_config.handle_config_request(message)
         if isinstance(message, DemandReport):
             return self._exchange.handle_report(message)
         if isinstance(message, DomainDemandRequest):
             return self._exchange.domain_demand(message)
-        if isinstance(message, TokenRequest):
+        if isinstance(message, PooledTokenRequest):
             return await self._tokens.handle_token_request(message)
         if isinstance(message, CallMessage):
             context = context_of(message, now=monotonic_s())
@@ -364,7 +364,7 @@
         """Remove expired daemons; update the wanted links and the first shares."""
         self._directory.remove_expired(monotonic_s())
         wanted = wanted_neighbours(self._directory.records(), self._make_record())
-        self._links.want(self._directory.addresses(wanted))
+        self._links.set_wanted_links(self._directory.addresses(wanted))
         self._exchange.members_changed()
 
     def _server_changed(self) -> None:
@@ -373,12 +373,12 @@
             self._gate.set_slots(self.local.slots, now)
         self._directory.put_local(self._make_record(), now)
         self._registration.schedule_write()
-        self._links.tell_all()
+        self._links.broadcast_note()
 
     def _config_changed(self, config: ConfigSet) -> None:
         self._callers.limits = config.caller_limits
         if self._exchange.is_relay:
-            self._links.tell_all()
+            self._links.broadcast_note()
 
     def _weight_of(self, workspace: str) -> float:
         config = self.configuration.config
--- a/damaskbay/mesh/assembly.py
+++ b/damaskbay/mesh/assembly.py
@@ -7,15 +7,15 @@
 from damaskbay.adapters.http1.client import HttpClient, HttpClientOptions
 from damaskbay.adapters.peer_link.client import PeerLinks
 from damaskbay.adapters.telemetry.bound import BoundTelemetry
-from damaskbay.core.pressure import EdgePressure
+from damaskbay.core.pressure import EdgeLoadShedder
 from damaskbay.core.quota.shares import DemandShares
-from damaskbay.core.retry.repeats import RepeatBudget, RepeatOptions
+from damaskbay.core.retry.repeats import ServerRetryBudget, ServerRetryOptions
 from damaskbay.core.routing import Router, RouterOptions
 from damaskbay.helpers.clock import monotonic_s
 from damaskbay.mesh.config_watch import DecodeConfig
 from damaskbay.mesh.configuration import Configuration
 from damaskbay.mesh.const import RETRY_RATIO_SHARE, RETRY_SLACK_SHARE
-from damaskbay.mesh.dialect import Dialect
+from damaskbay.mesh.dialect import HeaderNames
 from damaskbay.mesh.directory import Directory
 from damaskbay.mesh.dispatch import Dispatcher, DispatchParts
 from damaskbay.mesh.gate import Gate
@@ -38,7 +38,7 @@
     """
 
     store: Store
-    dialect: Dialect
+    dialect: HeaderNames
     decode_config: DecodeConfig
     config_prefix: str
     config_key: str
@@ -57,14 +57,14 @@
     shares: DemandShares
     tokens: PooledTokens
     running: RunningCalls
-    repeats: RepeatBudget
+    repeats: ServerRetryBudget
     telemetry: BoundTelemetry
     rng: Random
 
 
 def make_target(
     settings: MeshSettings,
-    dialect: Dialect,
+    dialect: HeaderNames,
     shared_parts: SharedParts,
     weight_of: Callable[[str], float],
 ) -> Target:
@@ -88,7 +88,10 @@
 
 
 def make_ingress(
-    settings: MeshSettings, dialect: Dialect, shared_parts: SharedParts, target: Target
+    settings: MeshSettings,
+    dialect: HeaderNames,
+    shared_parts: SharedParts,
+    target: Target,
 ) -> Ingress:
     """Return the component that serves callers, with its dispatcher."""
     router = Router(
@@ -110,7 +113,7 @@
             dispatcher=dispatcher,
             shares=shared_parts.shares,
             tokens=shared_parts.tokens,
-            pressure=EdgePressure(shared_parts.rng),
+            pressure=EdgeLoadShedder(shared_parts.rng),
             running=shared_parts.running,
             telemetry=shared_parts.telemetry,
             dialect=dialect,
@@ -120,10 +123,10 @@
     )
 
 
-def make_retry_budget(settings: MeshSettings) -> RepeatBudget:
+def make_retry_budget(settings: MeshSettings) -> ServerRetryBudget:
     """Return the retry budget of one server, a part of its pool's budget."""
-    return RepeatBudget(
-        RepeatOptions(
+    return ServerRetryBudget(
+        ServerRetryOptions(
             ratio=RETRY_RATIO_SHARE * settings.retry_ratio,
             saved=max(1.0, RETRY_SLACK_SHARE * settings.retry_slack),
         )
--- a/damaskbay/mesh/config_watch.py
+++ b/damaskbay/mesh/config_watch.py
@@ -8,7 +8,7 @@
 
 from damaskbay.config.objects import ConfigSet
 from damaskbay.mesh.configuration import Configuration
-from damaskbay.mesh.messages import ConfigHeld, ConfigWanted
+from damaskbay.mesh.messages import ConfigReply, ConfigRequest
 from damaskbay.ports.peer import PeerAddress
 from damaskbay.ports.store import Store, StoreFailure, StoreProblem
 
@@ -164,13 +164,13 @@
         self._clock = clock
         self._fetch_tasks: set[asyncio.Task[None]] = set()
 
-    def handle_config_request(self, wanted: ConfigWanted) -> ConfigHeld:
+    def handle_config_request(self, wanted: ConfigRequest) -> ConfigReply:
         """Return the reply to a peer, with the document only if the peer needs it."""
         configuration = self._configuration
         newer = configuration.version > wanted.newer_than
         age_s = configuration.proof_age_s(self._clock())
         document = configuration.document if newer else b""
-        return ConfigHeld(configuration.version, document, age_s)
+        return ConfigReply(configuration.version, document, age_s)
 
     async def run(self) -> None:
         """Poll a few peers while the proof is old, until cancelled."""
@@ -191,9 +191,9 @@
 
     async def _fetch(self, peer: PeerAddress) -> None:
         started_at = self._clock()
-        wanted = ConfigWanted(self._configuration.version)
+        wanted = ConfigRequest(self._configuration.version)
         reply = await self._request(peer, wanted, timeout_s=PEER_TIMEOUT_S)
-        if not isinstance(reply, ConfigHeld):
+        if not isinstance(reply, ConfigReply):
             return
         if reply.document:
             self._watch.activate_document(reply.document, str(peer))
--- a/damaskbay/mesh/dialect.py
+++ b/damaskbay/mesh/dialect.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dialect:
+class HeaderNames:
     """
     Header names of one deployment.
 
--- a/damaskbay/mesh/dispatch.py
+++ b/damaskbay/mesh/dispatch.py
@@ -6,10 +6,10 @@
 
 from damaskbay.adapters.peer_link.client import PeerLinks
 from damaskbay.config.objects import Route
-from damaskbay.core.call import Answer, CallContext, CallResult, Request
+from damaskbay.core.call import CallContext, CallResult, Request, Response
 from damaskbay.core.http_status import FIRST_SERVER_ERROR
 from damaskbay.core.outcome import Outcome, Reason, Refusal, not_run, unknown
-from damaskbay.core.retry.const import RETRIED_ELSEWHERE
+from damaskbay.core.retry.const import RETRYABLE_REASONS
 from damaskbay.core.routing import FAILURES_BY_REASON, FailureKind, RouteOutcome, Router
 from damaskbay.daemon.messages import (
     AnswerMessage,
@@ -69,8 +69,8 @@
         """Send a call, with retries; return its final response or refusal."""
         progress = _Progress()
         while True:
-            if progress.attempts_made and not context.resent:
-                context = replace(context, resent=True)
+            if progress.attempts_made and not context.is_retry:
+                context = replace(context, is_retry=True)
             result = await self._attempt(context, request, progress)
             if not self._should_retry(context, route, progress, result):
                 return self._final_result(progress, result)
@@ -89,7 +89,7 @@
                 replace(choice, retry_after_s=NOT_READY_RETRY_S), attempts=0
             )
         progress.excluded |= {choice.instance}
-        parts.router.started(choice.instance, now)
+        parts.router.record_start(choice.instance, now)
         failure: FailureKind | None = FailureKind.CANCELLED
         load: float | None = None
         may_have_run_before, progress.may_have_run = progress.may_have_run, True
@@ -99,7 +99,7 @@
         finally:
             ended = parts.clock()
             outcome = RouteOutcome(ended - now, None, failure, load)
-            parts.router.finished(choice.instance, outcome, ended)
+            parts.router.record_end(choice.instance, outcome, ended)
         final = result.result
         if isinstance(final, Refusal) and final.not_run:
             progress.may_have_run = may_have_run_before
@@ -141,9 +141,9 @@
     ) -> bool:
         """Return whether to retry; the next target's retry budget may refuse it."""
         outcome = result.result
-        if isinstance(outcome, Answer):
+        if isinstance(outcome, Response):
             return self._should_retry_response(context, route, progress, result)
-        if outcome.reason not in RETRIED_ELSEWHERE:
+        if outcome.reason not in RETRYABLE_REASONS:
             return False
         now = self._parts.clock()
         if context.deadline - now < MIN_RETRY_TIME_LEFT_S:
@@ -181,7 +181,7 @@
     ) -> bool:
         """Return whether to retry an error response at another server."""
         outcome = result.result
-        assert isinstance(outcome, Answer)
+        assert isinstance(outcome, Response)
         retry = (
             outcome.status in _RETRIED_STATUSES
             and context.idempotent
@@ -211,7 +211,7 @@
 
 def _failure_kind(result: CallResult) -> FailureKind | None:
     outcome = result.result
-    if isinstance(outcome, Answer):
+    if isinstance(outcome, Response):
         failed = outcome.status >= FIRST_SERVER_ERROR and not result.nested_failed
         return FailureKind.FAILED if failed else None
     if outcome.not_run and result.attempts == 0:
--- a/damaskbay/mesh/exchange.py
+++ b/damaskbay/mesh/exchange.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from damaskbay.adapters.peer_link.client import PeerLinks
-from damaskbay.core.quota.demand_pool import Counted, DemandPool, DomainTotal
+from damaskbay.core.quota.demand_pool import DemandPool, DemandTotals, DomainTotal
 from damaskbay.core.quota.shares import DemandShares
 from damaskbay.core.quota.token_pool import TokenPool
 from damaskbay.mesh.configuration import Configuration
@@ -71,7 +71,7 @@
         if self._fleet_known or not parts.members_known():
             return
         self._update_members()
-        parts.shares.counted(parts.pool.counted(parts.instance))
+        parts.shares.update_totals(parts.pool.totals_for(parts.instance))
         self._fleet_known = True
 
     async def run(self) -> None:
@@ -87,9 +87,9 @@
         age_s = parts.configuration.proof_age_s(parts.clock())
         if not self._fleet_known:
             return FleetState({}, {}, 0, version, age_s)
-        parts.pool.reported(report.instance, report.demand)
-        parts.tokens.reported(report.instance, parts.clock())
-        counted = parts.pool.counted(report.instance)
+        parts.pool.record_report(report.instance, report.demand)
+        parts.tokens.record_report(report.instance, parts.clock())
+        counted = parts.pool.totals_for(report.instance)
         own, total = dict(counted.own), dict(counted.total)
         return FleetState(own, total, counted.daemons, version, age_s)
 
@@ -99,13 +99,13 @@
             return DomainTotal({}, 0, 0)
         parts = self._parts
         if request.domains == parts.tokens.domains:
-            parts.tokens.stands_behind(
+            parts.tokens.record_remote_daemons(
                 request.sender_domain,
                 request.daemons,
                 request.reply_age_s,
                 parts.clock(),
             )
-        return parts.pool.own_total()
+        return parts.pool.local_total()
 
     async def _report(self) -> None:
         parts = self._parts
@@ -170,8 +170,8 @@
             )
             return
         if reply.daemons:
-            counted = Counted(reply.own, reply.total, reply.daemons)
-            parts.shares.counted(counted)
+            counted = DemandTotals(reply.own, reply.total, reply.daemons)
+            parts.shares.update_totals(counted)
         if reply.config_version > parts.configuration.version:
             parts.fetch_config(relay.address)
         elif reply.proof_age_s is not None:
@@ -181,10 +181,10 @@
     async def _act_as_relay(self) -> None:
         parts = self._parts
         demand = parts.shares.demand(parts.clock())
-        parts.pool.reported(parts.instance, demand)
-        parts.tokens.reported(parts.instance, parts.clock())
+        parts.pool.record_report(parts.instance, demand)
+        parts.tokens.record_report(parts.instance, parts.clock())
         parts.pool.close_round()
-        parts.shares.counted(parts.pool.counted(parts.instance))
+        parts.shares.update_totals(parts.pool.totals_for(parts.instance))
         remote = (item for item in parts.tokens.domains if item != parts.failure_domain)
         await asyncio.gather(
             *(self._request_domain_demand(domain) for domain in remote)
@@ -198,14 +198,14 @@
             started_at = parts.clock()
             request = DomainDemandRequest(
                 parts.failure_domain,
-                tokens.own_daemons(started_at),
-                tokens.answer_age_s(domain, started_at),
+                tokens.local_daemons(started_at),
+                tokens.reply_age_s(domain, started_at),
                 tokens.domains,
             )
             reply = await parts.links.request(
                 record.address, request, timeout_s=REPORT_TIMEOUT_S
             )
-            if isinstance(reply, DomainTotal) and reply.heard > 0:
-                parts.pool.heard(domain, reply)
-                tokens.answered(domain, started_at)
+            if isinstance(reply, DomainTotal) and reply.reporting_daemons > 0:
+                parts.pool.record_remote_total(domain, reply)
+                tokens.record_reply(domain, started_at)
                 return
