--- a/damaskbay/adapters/http1/const.py
+++ b/damaskbay/adapters/http1/const.py
@@ -22,7 +22,7 @@
 """Milliseconds without an acknowledgement of sent data until the connection fails."""
 
 KEEPALIVE_IDLE_S: Final = 2
-"""Seconds without traffic before the kernel sends keepalive probes."""
+"""Seconds without traffic before keepalive probes; they find half-open connections."""
 
 KEEPALIVE_PROBES: Final = 2
 """Unacknowledged probes, a second apart, after which the connection fails."""
--- a/damaskbay/client/client.py
+++ b/damaskbay/client/client.py
@@ -36,7 +36,7 @@
     """
     Client that calls services through daemons over HTTP; a context manager.
 
-    Thread-safe. Failures are returned, not raised: a result is an Answer, or a
+    Thread-safe. Failures are returned, not raised: a result is a Response, or a
     Refusal whose outcome shows whether the request may have run.
     """
 
--- a/damaskbay/core/admission/controller.py
+++ b/damaskbay/core/admission/controller.py
@@ -78,8 +78,8 @@
     calls has reached the limit. Running calls are never preempted.
 
     Each method with a return type of decisions returns all decisions that became
-    due. Each offered ticket gets one Start or Refuse unless it is withdrawn. Times
-    are in seconds of one monotonic clock.
+    due. Each offered ticket gets one StartDecision or RefuseDecision unless it is
+    withdrawn. Times are in seconds of one monotonic clock.
     """
 
     def __init__(self, options: AdmissionOptions, rng: Random, now: float) -> None:
--- a/damaskbay/core/call.py
+++ b/damaskbay/core/call.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """One complete HTTP response; a truncated body never becomes an Answer."""
+    """One complete HTTP response; a truncated body never becomes a Response."""
 
     status: int
     headers: Headers = ()
--- a/damaskbay/core/quota/const.py
+++ b/damaskbay/core/quota/const.py
@@ -35,7 +35,10 @@
 """
 
 HOME_DOMAIN_CACHE_SIZE: Final = 4096
-"""Number of workspaces whose home domain is cached, since each call looks it up."""
+"""Number of workspaces whose home domain is cached, since each call looks it up.
+
+Bounds the memory of the cache.
+"""
 
 TOKEN_RETRY_MAX_S: Final = 0.4
 """Longest time until a daemon requests a token again, seconds: one report interval.
